--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 SETUP = $(VENV)/.installed
 PACKAGES = packages/wheatslip packages/wheatslipd packages/wheatslip-cli
 
-.PHONY: demo soak test lint format bench bench-decisions bench-speeds bench-slopes clean
+.PHONY: demo soak test lint format bench bench-fairness bench-memory clean
 
 $(SETUP): requirements-dev.txt $(addsuffix /pyproject.toml,$(PACKAGES))
 	python3 -m venv $(VENV)
@@ -35,14 +35,11 @@
 bench: $(SETUP)
 	$(PY) -m bench.path
 
-bench-decisions: $(SETUP)
-	$(PY) -m bench.decisions
+bench-fairness: $(SETUP)
+	$(PY) -m bench.fairness
 
-bench-speeds: $(SETUP)
-	$(PY) -m bench.decisions.speeds
-
-bench-slopes: $(SETUP)
-	$(PY) -m bench.slopes
+bench-memory: $(SETUP)
+	$(PY) -m bench.memory
 
 clean:
 	rm -rf $(VENV) out
--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -1,8 +1,8 @@
 """The tries of one call: where to send it, whether again, and what to say in the end.
 
-Pure decision code, the same in the daemon's forwarder and in the decision bench. It holds
-the two promises of retrying: what may have run is never sent again unless the call may be
-repeated, and a call of which any try may have run is never reported as not run.
+Pure decision code, run by the daemon's forwarder. It holds the two promises of retrying: what
+may have run is never sent again unless the call may be repeated, and a call of which any try
+may have run is never reported as not run.
 """
 
 from collections.abc import Sequence
