--- a/packages/wheatslip/wheatslip/admission/__init__.py
+++ b/packages/wheatslip/wheatslip/admission/__init__.py
@@ -7,16 +7,12 @@
 from wheatslip.admission.coldturns import ColdRate, ColdTurns, cold_rate
 from wheatslip.admission.ticket import (
     ANY_WAIT,
-    MIN_RETRY_AFTER,
-    NOT_READY_RETRY_AFTER,
     AdmissionSettings,
     Ticket,
 )
 
 __all__ = [
     "ANY_WAIT",
-    "MIN_RETRY_AFTER",
-    "NOT_READY_RETRY_AFTER",
     "REFUSAL_LOSS",
     "Admission",
     "AdmissionSettings",
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -27,14 +27,13 @@
 from wheatslip.admission.line import WaitingLine
 from wheatslip.admission.ticket import (
     ANY_WAIT,
-    MIN_RETRY_AFTER,
-    NOT_READY_RETRY_AFTER,
     AdmissionSettings,
     Ticket,
 )
 from wheatslip.call import Call, CallClass
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.outcome import NotRun, Reason
+from wheatslip.retryafter import SERVER_LOST, SERVER_UNKNOWN, overloaded
 from wheatslip.speed import SLOW, SpeedModel
 
 LAST_RESORT = 1.5  # part of the time to the target that a call may take which waited in vain
@@ -189,7 +188,7 @@
             return refusal
         ticket = Ticket(call, now, max_wait=max_wait)
         if max_wait < ANY_WAIT and self.judgement.is_better_elsewhere(call, max_wait, now):
-            return self._refusal(0.0)
+            return overloaded(0.0)
         has_room = self._has_room(now)
         if has_room and not self.queued and not self.judgement.waits_out(call, now):
             self._start(ticket, now)
@@ -197,11 +196,11 @@
         self._was_full = self._was_full or not has_room
         wait = self.expected_wait(call, now)
         if wait > max_wait or self.judgement.is_too_late(call, wait, now):
-            return self._refusal(wait)
+            return overloaded(wait)
         if self._misses_target(call, wait, now):
-            return self._refusal(wait)
+            return overloaded(wait)
         if call.hold_until <= now:
-            return ticket if self.expire(ticket, now) else self._refusal(wait)
+            return ticket if self.expire(ticket, now) else overloaded(wait)
         return self._enqueue(ticket, wait)
 
     def finish(self, ticket: Ticket, now: float, *, worked: bool) -> list[Ticket]:
@@ -295,11 +294,11 @@
         if self.emptied:
             return NotRun(Reason.ZONE_EMPTIED)
         if self.unknown:
-            return NotRun(Reason.NOT_READY, NOT_READY_RETRY_AFTER)
+            return SERVER_UNKNOWN
         if self.draining:
             return NotRun(Reason.DRAINING)
         if self.lost:
-            return NotRun(Reason.UNREACHABLE, NOT_READY_RETRY_AFTER)
+            return SERVER_LOST
         if call.remaining(now) <= 0:
             return NotRun(Reason.DEADLINE)
         return None
@@ -335,7 +334,7 @@
     def _enqueue(self, ticket: Ticket, wait: float) -> Ticket | NotRun:
         is_full = len(self._line) >= self.settings.queue
         if is_full and not self._line.make_room(ticket):
-            return self._refusal(wait)
+            return overloaded(wait)
         self._line.push(ticket)
         return ticket
 
@@ -347,6 +346,3 @@
         self.cold.on_start(now)
         self.judgement.on_start(ticket, now)
         self._running.add(ticket)
-
-    def _refusal(self, wait: float) -> NotRun:
-        return NotRun(Reason.OVERLOADED, max(MIN_RETRY_AFTER, wait))
--- a/packages/wheatslip/wheatslip/admission/ticket.py
+++ b/packages/wheatslip/wheatslip/admission/ticket.py
@@ -5,8 +5,6 @@
 from wheatslip.call import Call
 
 ANY_WAIT = float("inf")
-MIN_RETRY_AFTER = 0.05  # seconds
-NOT_READY_RETRY_AFTER = 0.2  # seconds
 DEFAULT_URGENT_SHARE = 0.25
 
 
--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -13,9 +13,9 @@
 from wheatslip.chooser import Chooser, Upstream
 from wheatslip.outcome import TURNED_AWAY, Answered, NotRun, Outcome, Reason, Unknown
 from wheatslip.owners import owner
+from wheatslip.retryafter import NO_SERVER
 
 MAX_TRIES = 6
-NO_UPSTREAM = NotRun(Reason.NO_UPSTREAM, retry_after=1.0)
 ANY_WAIT = float("inf")
 SERVER_ERROR = 500  # statuses from here on are failures of the backend server
 
@@ -39,7 +39,7 @@
     budget: Budget
     tries: int = 0
     arrivals: int = 0  # tries that reached, or may have reached, a backend server
-    last: Outcome = NO_UPSTREAM
+    last: Outcome = NO_SERVER
     # Whether the request can still be sent whole: its body is kept or was not touched.
     can_resend: bool = True
     _tried: set[str] = field(default_factory=set)
--- a/packages/wheatslipd/wheatslipd/entry/answers.py
+++ b/packages/wheatslipd/wheatslipd/entry/answers.py
@@ -4,6 +4,7 @@
 
 from wheatslip.hop import OUTCOME_HEADER, encode_outcome
 from wheatslip.outcome import NotRun, Reason, Unknown
+from wheatslip.retryafter import UNTIMED
 
 from wheatslipd.http.exchange import Exchange
 from wheatslipd.http.messages import Headers, ResponseHead
@@ -26,9 +27,6 @@
 RETRY_AFTER_MS = b"wheatslip-retry-after-ms"
 
 
-PLAIN_RETRY_AFTER = 0.1  # seconds, where a refusal knows no better
-
-
 def status_of(outcome: NotRun | Unknown, *, plain: bool = False) -> int:
     """The HTTP status of a refusal or an unknown outcome; see `send_refusal` for `plain`."""
     if isinstance(outcome, Unknown):
@@ -54,7 +52,7 @@
     status = status_of(outcome, plain=plain)
     if plain:
         if status == NOT_RUN_DEFAULT and isinstance(outcome, NotRun):
-            wait = outcome.retry_after or PLAIN_RETRY_AFTER
+            wait = outcome.retry_after or UNTIMED
             headers.append((b"retry-after", b"%.3f" % wait))
     elif isinstance(outcome, NotRun) and outcome.retry_after is not None:
         # Retry-After knows whole seconds only; the exact time stands beside it.
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -9,6 +9,7 @@
 from wheatslip.config.bundle import Service, credential_digest
 from wheatslip.ledger import key_time
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason
+from wheatslip.retryafter import NOT_CONFIGURED, STOPPING
 
 from wheatslipd.chain import EntryRequest, Filter, Proceed
 from wheatslipd.controllers.view import View
@@ -92,11 +93,11 @@
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
         """Fix the configuration that the request is served under."""
         if self.view.closed:
-            return NotRun(Reason.DRAINING, retry_after=1.0)
+            return STOPPING
         if not self.view.known.is_set():
             await self._wait_for_start()
         if self.view.configuration is None or self.view.drains is None:
-            return NotRun(Reason.NO_CONFIGURATION, retry_after=1.0)
+            return NOT_CONFIGURED
         request.configuration = self.view.configuration
         return await proceed(request)
 
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -19,6 +19,7 @@
     encode,
 )
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
+from wheatslip.retryafter import NO_PEER_CONNECTION
 
 from wheatslipd.chain import EntryRequest
 from wheatslipd.controllers.view import Peer, View
@@ -170,7 +171,7 @@
             connection = await peer.connections.take(self._connect_patience(sending.call))
             if connection is None:
                 upstream.on_unreachable(self._clock(), self._rng)
-                return NotRun(Reason.UNREACHABLE, retry_after=1.0)
+                return NO_PEER_CONNECTION
             try:
                 return await self._exchange(sending, chosen, peer, connection, limit)
             finally:
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -10,13 +10,13 @@
 from wheatslip.config.routes import pick_service
 from wheatslip.outcome import NotRun, Outcome, Reason
 from wheatslip.patience import Patience
+from wheatslip.retryafter import NO_SUCH_SERVICE
 
 from wheatslipd.chain import EntryRequest, Proceed
 from wheatslipd.http.messages import RequestHead
 from wheatslipd.settings import HeaderNames
 
 MILLISECONDS = 1000.0
-RETRY_AFTER = 0.1  # seconds
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
             return NotRun(Reason.NO_ROUTE)
         request.service = request.configuration.services.get(pick_service(route, self.rng))
         if request.service is None:
-            return NotRun(Reason.NO_UPSTREAM, RETRY_AFTER)
+            return NO_SUCH_SERVICE
         remaining = self._remaining(head, route)
         if remaining is None:
             return NotRun(Reason.BAD_REQUEST)
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -5,6 +5,7 @@
 
 from wheatslip.outcome import NotRun, Reason, Unknown
 from wheatslip.resting import RestLimit
+from wheatslip.retryafter import NO_CONNECTION
 
 from wheatslipd.http.body import Body, BodyBroken
 from wheatslipd.http.client import ClientConnection, Pool, Response
@@ -46,7 +47,7 @@
         patience = max(self._connect_timeout, connect_patience)
         connection = await self._pool.take(patience, self._resting.trusted(now))
         if connection is None:
-            return NotRun(Reason.UNREACHABLE, retry_after=1.0)
+            return NO_CONNECTION
         if echo is not None:
             connection.expect_echo(*echo)
         try:
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -3,11 +3,18 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from wheatslip.admission import MIN_RETRY_AFTER, NOT_READY_RETRY_AFTER, Admission, Ticket
+from wheatslip.admission import Admission, Ticket
 from wheatslip.backendload import BackendLoad
 from wheatslip.call import Call
 from wheatslip.hop import LoadReport
 from wheatslip.outcome import NotRun, Reason
+from wheatslip.retryafter import (
+    EVICTED,
+    FASTER_ELSEWHERE,
+    LOST_WHILE_WAITING,
+    SERVER_UNKNOWN,
+    overloaded,
+)
 from wheatslip.speed import SLOW
 
 from wheatslipd.controllers.view import View
@@ -15,7 +22,6 @@
 from wheatslipd.telemetry import logs
 
 LOST_IN_A_ROW = 2
-EVICTED_RETRY_AFTER = 0.5  # seconds
 
 
 class Gate:
@@ -64,7 +70,7 @@
         if not self.admission.unknown:
             logs.info("backend-replaced", in_flight=self.admission.in_flight)
             self.admission.unknown = True
-            self._refuse_waiting(NotRun(Reason.NOT_READY, NOT_READY_RETRY_AFTER))
+            self._refuse_waiting(SERVER_UNKNOWN)
 
     def reopen(self) -> None:
         """A backend server is known to stand here: take new work again."""
@@ -150,7 +156,7 @@
         logs.warning("backend-lost", in_flight=self.admission.in_flight)
         self.admission.lost = True
         self.in_doubt.set()
-        self._refuse_waiting(NotRun(Reason.UNREACHABLE, MIN_RETRY_AFTER))
+        self._refuse_waiting(LOST_WHILE_WAITING)
 
     def _be_fast_again(self) -> None:
         if self.in_doubt.is_set() and not self.admission.lost:
@@ -160,7 +166,7 @@
     def _send_elsewhere(self) -> None:
         """Refuse what waits here but would rather have gone to a faster server."""
         for ticket in self.admission.better_elsewhere(self._clock()):
-            self._tell(ticket, NotRun(Reason.OVERLOADED, MIN_RETRY_AFTER))
+            self._tell(ticket, FASTER_ELSEWHERE)
 
     def forget_slowness(self) -> None:
         """The backend server tells nothing of its speed, so it counts as usual."""
@@ -252,8 +258,7 @@
         now = self._clock()
         if call.hold_until > now:
             return NotRun(Reason.DEADLINE)
-        wait = self.admission.expected_wait(call, now)
-        return NotRun(Reason.OVERLOADED, max(MIN_RETRY_AFTER, wait))
+        return overloaded(self.admission.expected_wait(call, now))
 
     def _wake(self, started: list[Ticket]) -> None:
         for ticket in started:
@@ -274,7 +279,7 @@
 
     def _tell_evicted(self) -> None:
         for ticket in self.admission.evicted():
-            self._tell(ticket, NotRun(Reason.OVER_SHARE, EVICTED_RETRY_AFTER))
+            self._tell(ticket, EVICTED)
 
     def _tell(self, ticket: Ticket, refusal: NotRun | None) -> None:
         """End the wait of a ticket, if it waits; None: it has started."""
--- a/packages/wheatslipd/wheatslipd/gate/keyguard.py
+++ b/packages/wheatslipd/wheatslipd/gate/keyguard.py
@@ -7,8 +7,7 @@
 from wheatslip.ledger import Claim, KeptAnswer, KeyLedger, KeyState
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from wheatslip.owners import OwnerHistory
-
-RETRY_AFTER = 1.0  # seconds
+from wheatslip.retryafter import LEASE_LAPSED, NOT_KEY_OWNER
 
 
 @dataclass(slots=True)
@@ -28,10 +27,10 @@
         now = self.unix()
         if not self.owners.is_lease_held(self.list_checked(), now):
             # We may have been frozen or cut off, and another may own the key by now.
-            return NotRun(Reason.LEASE_LAPSED, RETRY_AFTER)
+            return LEASE_LAPSED
         safe_since = self.owners.safe_since(call.owned_key, self.name)
         if safe_since is None:
-            return NotRun(Reason.NOT_KEY_OWNER, RETRY_AFTER)
+            return NOT_KEY_OWNER
         claim = self.ledger.claim(call.workspace, call.key, safe_since, now)
         match claim.state:
             case KeyState.FROM_THE_FUTURE:
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -21,6 +21,7 @@
 )
 from wheatslip.ledger import Claim, KeptAnswer, KeyState, key_time
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
+from wheatslip.retryafter import TURNED_AWAY
 
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
@@ -39,7 +40,6 @@
 CATCH_UP_SECONDS = 0.5  # how long a request waits for a version that its entry has already
 CATCH_UP_STEP = 0.02
 BODY_HOLD = 64 * 1024  # bytes of a request's body that are waited for; entries send as much
-SHED_RETRY_AFTER = 1.0  # seconds
 MISDIRECTED = 421  # HTTP status of a server that is not the one that is meant
 
 
@@ -226,7 +226,7 @@
         if self._was_not_run(response.head, passage.call):
             if self.server and response.head.status == MISDIRECTED:
                 self._gate.on_stranger()
-            return NotRun(Reason.SHED, retry_after=SHED_RETRY_AFTER)
+            return TURNED_AWAY
         headers = [
             (name, value)
             for name, value in response.head.forwarded()
