--- a/packages/wheatslip/wheatslip/admission/__init__.py
+++ b/packages/wheatslip/wheatslip/admission/__init__.py
@@ -6,13 +6,11 @@
 from wheatslip.admission.admission import REFUSAL_LOSS, Admission
 from wheatslip.admission.coldturns import ColdRate, ColdTurns, cold_rate
 from wheatslip.admission.ticket import (
-    ANY_WAIT,
     AdmissionSettings,
     Ticket,
 )
 
 __all__ = [
-    "ANY_WAIT",
     "REFUSAL_LOSS",
     "Admission",
     "AdmissionSettings",
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -26,11 +26,10 @@
 from wheatslip.admission.judgement import Judgement
 from wheatslip.admission.line import WaitingLine
 from wheatslip.admission.ticket import (
-    ANY_WAIT,
     AdmissionSettings,
     Ticket,
 )
-from wheatslip.call import Call, CallClass
+from wheatslip.call import ANY_WAIT, Call, CallClass
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.retryafter import SERVER_LOST, SERVER_UNKNOWN, overloaded
--- a/packages/wheatslip/wheatslip/admission/judgement.py
+++ b/packages/wheatslip/wheatslip/admission/judgement.py
@@ -6,8 +6,8 @@
 
 from dataclasses import dataclass, field
 
-from wheatslip.admission.ticket import ANY_WAIT, Ticket
-from wheatslip.call import Call
+from wheatslip.admission.ticket import Ticket
+from wheatslip.call import ANY_WAIT, Call
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.servicetimes import ServiceTimes
 from wheatslip.speed import SLOW, SpeedModel
--- a/packages/wheatslip/wheatslip/admission/ticket.py
+++ b/packages/wheatslip/wheatslip/admission/ticket.py
@@ -2,9 +2,8 @@
 
 from dataclasses import dataclass
 
-from wheatslip.call import Call
+from wheatslip.call import ANY_WAIT, Call
 
-ANY_WAIT = float("inf")
 DEFAULT_URGENT_SHARE = 0.25
 
 
--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -1,35 +1,74 @@
-"""The tries of one call: where to send it, whether again, and what to say in the end.
-
-Pure decision code, run by the daemon's forwarder. It holds the two promises of retrying: what
-may have run is never sent again unless the call may be repeated, and a call of which any try
-may have run is never reported as not run.
+"""The tries of one call: where to send it, whether to send it again, what to report in the end.
+
+Pure decision code, run by the daemon's forwarder. It keeps two promises: a call that may have
+run is sent again only if its kind is repeatable, and a call of which any try may have run is
+never reported as not run.
+
+Whether again. The first row that fits decides; "pays" says what another try needs:
+
+| the try ended in                        | kind       | pays            | may have run |
+| --------------------------------------- | ---------- | --------------- | ------------ |
+| an answer with a status from 500 on,    | repeatable | an arrival      | yes          |
+| none of it sent to the caller yet       |            |                 |              |
+| an answer                               | any        | no other try    | it has       |
+| not run, a reason not in `RETRYABLE`    | any        | no other try    | no           |
+| not run, shed by the server itself      | any        | an arrival      | no           |
+| not run, overloaded: a bounce           | any        | nothing         | no           |
+| not run, overloaded, `hold_until` bound | any        | no other try    | no           |
+| not run, overloaded, any wait allowed   | any        | budget          | no           |
+| not run, any other reason               | any        | nothing         | no           |
+| unknown, unacknowledged                 | repeatable | nothing         | yes          |
+| unknown, any other reason               | repeatable | an arrival      | yes          |
+| unknown                                 | run once   | no other try    | yes          |
+
+- "Budget": the retry budget has a token, which is taken. "An arrival": the same, and fewer than
+  `Call.max_attempts` tries have reached a backend server.
+- Always: the request can still be sent whole (`can_resend`), fewer than `MAX_TRIES` tries were
+  made, and an upstream is left. A call bound by its key has one try. The forwarder makes no
+  other try once a part of an answer went to the caller.
+- A bounce is the refusal of a gate where the call would wait longer than the try's `max_wait`.
+
+What is reported: the outcome of the last try; but where that try was not run and an earlier one
+may have run, the outcome of the latest of these. If the deadline passes during a try: unknown
+where this try or an earlier one may have run, else not run.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from wheatslip.budget import Budget
-from wheatslip.call import Call
+from wheatslip.call import ANY_WAIT, Call
 from wheatslip.chooser import Chooser, Upstream
-from wheatslip.outcome import TURNED_AWAY, Answered, NotRun, Outcome, Reason, Unknown
+from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from wheatslip.owners import owner
 from wheatslip.retryafter import NO_SERVER
 
+# Tries of a call in all, also those that no backend server saw, which cost messages only and
+# which `Call.max_attempts` does not count. Chosen, not measured.
 MAX_TRIES = 6
-ANY_WAIT = float("inf")
-SERVER_ERROR = 500  # statuses from here on are failures of the backend server
+SERVER_ERROR = 500  # HTTP statuses from here on are failures of the backend server
 
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """One try. An upstream where the call would wait longer than `max_wait` seconds refuses
-    it at once instead, as others are left to try.
+    """One try. The gate of an upstream where the call would wait longer than `max_wait`
+    seconds refuses it at once, as others are left to try.
     """
 
     upstream: Upstream
     max_wait: float
 
 
+@dataclass(frozen=True, slots=True)
+class Replaced(Unknown):
+    """The end of a try whose answer had begun and gave way to another try; see
+    `Attempts.replace_answer`, which has counted it.
+    """
+
+
+REPLACED = Replaced(Reason.BACKEND_FAILED)
+
+
 @dataclass(slots=True)
 class Attempts:
     """The tries of one call so far."""
@@ -45,8 +84,8 @@
     _tried: set[str] = field(default_factory=set)
     _bounced: set[str] = field(default_factory=set)
     _present: Try | None = None
-    _doubt: Unknown | None = None
-    _in_doubt_now: bool = False
+    _present_may_have_run: bool = False
+    _may_have_run: Unknown | None = None  # the latest outcome of a try that may have run
 
     def __post_init__(self) -> None:
         self.budget.on_request()
@@ -63,54 +102,45 @@
 
     def on_bytes_sent(self) -> None:
         """From here on the present try may run."""
-        self._in_doubt_now = True
+        self._present_may_have_run = True
 
     def ended(self, outcome: Outcome) -> bool:
-        """The present try ended; whether there should be another."""
+        """The present try ended; whether there should be another, which is paid for then."""
         self.last = outcome
-        self._in_doubt_now = False
+        self._present_may_have_run = False
         match outcome:
             case Answered():
                 self.arrivals += 1
                 return False
             case NotRun():
-                return self._again_elsewhere(outcome)
-            case Unknown(Reason.UNACKNOWLEDGED):
-                self._doubt = outcome
-                # It met a machine that is gone, so it takes nothing of the budget, which bounds
-                # what backend servers get. Each entry meets each lost machine by itself: in a
-                # fleet of hundreds, with parts of the budget below one send, most would end.
-                return self.call.kind.repeatable and self.can_resend
+                return self._again_after_refusal(outcome)
             case Unknown():
-                self.arrivals += 1
-                self._doubt = outcome
-        return self.call.kind.repeatable and self._may_arrive_again()
+                return self._again_after_unknown(outcome)
 
-    def may_replace(self, status: int) -> bool:
-        """Whether an answer with `status` that has begun should give way to another try.
+    def replace_answer(self, status: int) -> bool:
+        """Give up an answer with `status` that has begun for another try, if one may be made.
 
-        Counts the answer's try as ended if so, and pays for the next.
+        If so the answer's try has ended, and the next one is paid for.
         """
         if status < SERVER_ERROR or not self.call.kind.repeatable:
             return False
+        if not self._pay_for_arrival(self.arrivals + 1):
+            return False
         self.arrivals += 1
-        if self._may_arrive_again():
-            self._in_doubt_now = False
-            self._doubt = Unknown(Reason.BACKEND_FAILED)
-            return True
-        self.arrivals -= 1
-        return False
+        self._present_may_have_run = False
+        self._may_have_run = Unknown(Reason.BACKEND_FAILED)
+        return True
 
     def result(self) -> Outcome:
-        """What to tell the caller after the last try."""
-        if isinstance(self.last, NotRun) and self._doubt is not None:
-            return self._doubt
+        """What to report to the caller after the last try."""
+        if isinstance(self.last, NotRun) and self._may_have_run is not None:
+            return self._may_have_run
         return self.last
 
     def expired(self) -> Outcome:
-        """What to tell the caller when the deadline passes during a try."""
+        """What to report to the caller when the deadline passes during a try."""
         has_run = isinstance(self.last, Answered)
-        if has_run or self._in_doubt_now or self._doubt is not None:
+        if has_run or self._present_may_have_run or self._may_have_run is not None:
             return Unknown(Reason.DEADLINE)
         return NotRun(Reason.DEADLINE)
 
@@ -124,23 +154,35 @@
             busy = [u for u in upstreams if u.name in self._bounced]
             chosen = self.chooser.soonest(busy, now, self.call.target)
             return Try(chosen, ANY_WAIT) if chosen else None
+        return Try(chosen, self._max_wait_at(chosen, upstreams, now))
+
+    def _max_wait_at(
+        self, chosen: Upstream, upstreams: Sequence[Upstream], now: float
+    ) -> float:
+        """Seconds that the call may wait at the gate of `chosen`.
+
+        A bounce costs the backend server nothing, but after some the call waits where it is.
+        """
+        settings = self.chooser.settings
+        if len(self._bounced) >= settings.max_bounces:
+            return ANY_WAIT
         left = self._tried | {chosen.name}
-        # A refusal costs the backend server nothing; after some the call queues where it is.
-        may_bounce = len(self._bounced) < self.chooser.settings.max_bounces
-        if may_bounce and (self._bounced or self.chooser.has_choice(upstreams, now, left)):
-            return Try(chosen, self.chooser.settings.bounce_wait)
-        return Try(chosen, ANY_WAIT)
-
-    def _again_elsewhere(self, refusal: NotRun) -> bool:
-        """Whether to go on after a refusal; a refused wait in line costs the budget."""
-        assert self._present is not None
+        if self._bounced or self.chooser.has_choice(upstreams, now, left):
+            return settings.bounce_wait
+        return ANY_WAIT
+
+    def _again_after_refusal(self, refusal: NotRun) -> bool:
         if not (refusal.retryable and self.can_resend):
             return False
-        if refusal.reason in TURNED_AWAY:
+        if refusal.reason is Reason.SHED:
             self.arrivals += 1
-            return self._may_arrive_again()
-        if refusal.reason is not Reason.OVERLOADED:
-            return True
+            return self._pay_for_arrival(self.arrivals)
+        if refusal.reason is Reason.OVERLOADED:
+            return self._again_after_overload()
+        return True
+
+    def _again_after_overload(self) -> bool:
+        assert self._present is not None
         if self._present.max_wait < ANY_WAIT:
             self._bounced.add(self._present.upstream.name)
             return True
@@ -148,9 +190,22 @@
             return False  # it has waited as long as it may
         return self.budget.take()
 
-    def _may_arrive_again(self) -> bool:
-        """Whether one more try may reach a backend server; it is paid for if so."""
-        if not self.can_resend or self.arrivals >= self.call.max_attempts:
+    def _again_after_unknown(self, outcome: Unknown) -> bool:
+        self._may_have_run = outcome
+        if outcome.reason is Reason.UNACKNOWLEDGED:
+            # It met a machine that is gone, so it takes nothing of the budget, which bounds
+            # what backend servers get. Each entry meets each lost machine by itself: in a
+            # fleet of hundreds, with parts of the budget below one send, most would end.
+            return self.call.kind.repeatable and self.can_resend
+        self.arrivals += 1
+        return self.call.kind.repeatable and self._pay_for_arrival(self.arrivals)
+
+    def _pay_for_arrival(self, arrivals: int) -> bool:
+        """Pay for one more try that may reach a backend server, after `arrivals` that did.
+
+        False, and nothing is paid, if there may be none.
+        """
+        if not self.can_resend or arrivals >= self.call.max_attempts:
             return False
         return self.budget.take()
 
--- a/packages/wheatslip/wheatslip/budget.py
+++ b/packages/wheatslip/wheatslip/budget.py
@@ -13,7 +13,6 @@
 RESERVE = 3.0  # tokens an idle budget starts from and can save up to, at least
 SAVED_SECONDS_SHARE = 20.0  # tokens a busy budget can save up to
 BUCKETS = 20  # parts of a window
-MAX_RETRIES_ON_THE_WAY = 2  # retries that may happen in all hops of one call together
 
 
 class Budget(Protocol):
--- a/packages/wheatslip/wheatslip/call.py
+++ b/packages/wheatslip/wheatslip/call.py
@@ -3,6 +3,9 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
+# Seconds, or a moment, where a wait has no bound.
+ANY_WAIT = float("inf")
+
 
 class CallClass(StrEnum):
     """How a call stands in a queue: urgent calls go first but earn no share."""
@@ -36,8 +39,8 @@
     deadline: float
     key: str = ""
     depth: int = 0
-    target: float = float("inf")
-    hold_until: float = float("inf")
+    target: float = ANY_WAIT
+    hold_until: float = ANY_WAIT
     max_attempts: int = 5
     request_id: str = ""
 
--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -11,6 +11,7 @@
 from math import exp
 from random import Random
 
+from wheatslip.call import ANY_WAIT
 from wheatslip.hop import LoadReport
 
 # Load at a server changes completely in about the time that one request takes there, so a
@@ -183,7 +184,7 @@
         return min(drawn, key=lambda u: self.cost(u, typical, now) * self._jitter())
 
     def soonest(
-        self, upstreams: Sequence[Upstream], now: float, target: float = float("inf")
+        self, upstreams: Sequence[Upstream], now: float, target: float = ANY_WAIT
     ) -> Upstream | None:
         """Where a request that was refused by each of `upstreams` just now waits least.
 
--- a/packages/wheatslip/wheatslip/outcome.py
+++ b/packages/wheatslip/wheatslip/outcome.py
@@ -37,7 +37,7 @@
     CANCELLED = "cancelled"
 
 
-# Reasons for which another upstream may well take the request.
+# Reasons for which another upstream may take the request; see the table in `attempts`.
 RETRYABLE = frozenset(
     {
         Reason.OVERLOADED,
@@ -54,10 +54,6 @@
 )
 
 
-# Reasons for which the request reached a backend server that then turned it away.
-TURNED_AWAY = frozenset({Reason.SHED})
-
-
 @dataclass(frozen=True, slots=True)
 class Answered:
     """The backend server answered; `status` is its HTTP status."""
@@ -74,7 +70,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether another upstream may take the request now."""
+        """Whether another upstream may take the request."""
         return self.reason in RETRYABLE
 
 
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from wheatslip.attempts import ANY_WAIT, SERVER_ERROR, Attempts, Try
+from wheatslip.attempts import REPLACED, SERVER_ERROR, Attempts, Replaced, Try
 from wheatslip.budget import RetryBudgets
-from wheatslip.call import Call, CallClass
+from wheatslip.call import ANY_WAIT, Call, CallClass
 from wheatslip.chooser import Chooser
 from wheatslip.hop import (
     HOP_HEADER,
@@ -36,8 +36,6 @@
 TIME_DIGITS = 3  # of seconds that travel with a request
 REPLAY_LIMIT = 64 * 1024  # a body up to this size is kept, so that it can be sent again
 CONNECT_TIMEOUT = 0.25  # seconds
-# An answer that has begun and was given up for another try; see Attempts.may_replace.
-REPLACED = Unknown(Reason.BACKEND_FAILED)
 _NOT_FORWARDED = frozenset({b"authorization", b"content-length", TRACEPARENT})
 
 
@@ -128,7 +126,7 @@
             peer = next(peer for peer in peers if peer.upstream is chosen.upstream)
             outcome = await self._send(sending, chosen, peer, limit)
             self._log_try(sending, chosen, outcome)
-            if outcome == REPLACED:
+            if isinstance(outcome, Replaced):
                 continue
             again = attempts.ended(outcome) and not sending.request.exchange.started
 
@@ -211,7 +209,7 @@
             if refusal.reason in (Reason.UNREACHABLE, Reason.CONNECTION_LOST):
                 peer.upstream.on_failure(self._clock(), self._rng)
             return refusal
-        if sending.attempts.may_replace(response.head.status):
+        if sending.attempts.replace_answer(response.head.status):
             return REPLACED
         try:
             held = await response.body.read_up_to(self._answer_hold)
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wheatslip.admission import ANY_WAIT, Ticket
+from wheatslip.admission import Ticket
 from wheatslip.backendload import decode_backend_load
-from wheatslip.call import Call, CallClass, RequestKind
+from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
 from wheatslip.hop import (
     HOP_HEADER,
     LOAD_HEADER,
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from wheatslip.attempts import ANY_WAIT, MAX_TRIES, Attempts
+from wheatslip.attempts import MAX_TRIES, Attempts
 from wheatslip.budget import RetryBudget
-from wheatslip.call import Call, RequestKind
+from wheatslip.call import ANY_WAIT, Call, RequestKind
 from wheatslip.chooser import Chooser, Upstream
 from wheatslip.hop import LoadReport
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
@@ -99,7 +99,7 @@
             return
         self.tries.on_bytes_sent()
         self.may_have_run += 1
-        if not self.tries.may_replace(status):
+        if not self.tries.replace_answer(status):
             self.is_over = not self.tries.ended(Answered(status))
 
     @rule()
@@ -227,12 +227,12 @@
 
 
 def test_a_servers_failure_is_replaced_only_if_the_call_may_run_again():
-    assert not routed(repeatable=False).may_replace(500)
-    assert not routed(tokens=0.0).may_replace(500)
-    assert not routed().may_replace(404)
+    assert not routed(repeatable=False).replace_answer(500)
+    assert not routed(tokens=0.0).replace_answer(500)
+    assert not routed().replace_answer(404)
     tries = routed()
     tries.next(upstreams(), 0.0)
-    assert tries.may_replace(500)
+    assert tries.replace_answer(500)
     # Were it all that was had, it may have run.
     assert tries.result() == Unknown(Reason.BACKEND_FAILED)
 
--- a/test/test_coldturns.py
+++ b/test/test_coldturns.py
@@ -7,8 +7,8 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wheatslip.admission import ANY_WAIT, Admission, AdmissionSettings, ColdTurns, cold_rate
-from wheatslip.call import Call, CallClass, RequestKind
+from wheatslip.admission import Admission, AdmissionSettings, ColdTurns, cold_rate
+from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslipd.controllers.view import View
 from wheatslipd.gate.gate import Gate
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -3,9 +3,9 @@
 import asyncio
 import dataclasses
 
-from wheatslip.admission import ANY_WAIT, Admission, AdmissionSettings, Ticket
+from wheatslip.admission import Admission, AdmissionSettings, Ticket
 from wheatslip.backendload import BackendLoad, decode_backend_load
-from wheatslip.call import Call, RequestKind
+from wheatslip.call import ANY_WAIT, Call, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslipd.controllers.view import View
 from wheatslipd.gate.gate import Gate
--- a/test/test_recoveryprobe.py
+++ b/test/test_recoveryprobe.py
@@ -3,9 +3,9 @@
 import asyncio
 from contextlib import suppress
 
-from wheatslip.admission import ANY_WAIT, Admission, AdmissionSettings
+from wheatslip.admission import Admission, AdmissionSettings
 from wheatslip.backendload import BackendLoad
-from wheatslip.call import Call, RequestKind
+from wheatslip.call import ANY_WAIT, Call, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.slidinglimit import SlidingLimit
 from wheatslipd.controllers.view import View
