--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -1,9 +1,32 @@
-"""Choosing the backend server for a request.
+"""Choosing the backend server for a request: which upstream of a pool should get this try?
 
-Pure decision code. An entry knows exactly what it has in flight itself, and of the rest only
-load reports that rode back on answers and are stale on arrival. The chooser discounts them
-by age, compares a few candidates drawn at random so that entries do not herd, and learns
-from refusals and failures at once.
+Pure decision code, in each entry by itself. Seconds on one monotonic clock throughout.
+
+What goes in:
+
+- what this entry has in flight at each upstream: exact, but a small part of the load there;
+- the last `LoadReport` of each, which rode back on an answer: the whole load, but stale on
+  arrival and the same for many entries;
+- failures and errors that this entry met itself, and what the platform's list, which lags, says
+  of the upstream's health;
+- the availability zones, and the operator's `ChooserSettings`.
+
+`Chooser.pick` decides in this order:
+
+1. Upstreams that were tried for this call, or are leaving, are out.
+2. Upstreams in a pause after a failure are out; if that leaves none, one of them at random.
+3. An upstream that joined lately takes part in a growing share of the picks.
+4. Candidates are drawn at random: `candidates` of the own zone, a few of the others.
+5. The candidate with the least `cost` gets the request; a jitter parts ties.
+
+`Chooser.cost` is the expected seconds until an answer, and what its way costs besides: the
+service time there now, more of it the fuller the server is thought to be, twice that where only
+the list calls it unhealthy, a price for leaving the zone, a price for its recent errors.
+
+Load pattern: many entries choose at the same moment by the same reports. Each that took the
+best server would send its requests to the same one (herding); so reports count half and fade,
+small differences count as none, and candidates are drawn. docs/DECISIONS.md has the trials;
+"within the spread" below means that other values measured the same there.
 """
 
 from collections.abc import Sequence, Set
@@ -13,38 +36,64 @@
 
 from wheatslip.call import ANY_WAIT
 from wheatslip.hop import LoadReport
+from wheatslip.limit import INITIAL_LIMIT, INITIAL_SERVICE
 
 # Load at a server changes completely in about the time that one request takes there, so a
-# report is trusted for this many service times (to 1/e).
+# report is trusted for this many service times (to 1/e). Measured: 0.5 is too short, 1 to 8
+# are within the spread.
 TRUST_SERVICE_TIMES = 4.0
-# What an entry has in flight itself is exact but a small part of the load; reports show all
-# of it but are stale and the same for many entries. See docs/DECISIONS.md for the weights.
+# Weights of an entry's own requests in flight and of the load by reports, in the fill of a
+# server. Measured: with them a wave of arrivals is answered sooner, and own requests alone do
+# worse. More weight on reports makes entries herd.
 OWN_WEIGHT = 2.0
 REPORT_WEIGHT = 0.5
-POOL_LOAD_WEIGHT = 0.05  # weight of one report in the mean load of a pool
-INITIAL_SERVICE = 0.005  # seconds
-INITIAL_LIMIT = 8.0
-MIN_SERVICE = 1e-6  # seconds
-# Service times that differ by less are taken as equal: following noise makes entries herd.
+# Weight of one report in the mean load and mean limit of a pool: the mean covers the last 20
+# reports or so. Chosen, not measured.
+POOL_LOAD_WEIGHT = 0.05
+MIN_SERVICE = 1e-6  # seconds; keeps a report of no service time from dividing by zero
+# Ratio up to which service times count as equal. Measured: without it entries follow noise and
+# herd, and several times as many first tries are refused.
 SAME_SERVICE = 1.5
-FAILURE_FIRST_PAUSE = 0.2  # seconds
+# Seconds that an upstream is left alone after its first failure, twice as many after each
+# further one, and at most. Shorter, requests go on meeting a lost server; longer, a server
+# that is back stays idle. Chosen, not measured.
+FAILURE_FIRST_PAUSE = 0.2
 FAILURE_LAST_PAUSE = 5.0
-DEAD_AFTER = 15.0  # seconds without a connection; longer than a restart or a short cut
+# An upstream whose machine must be gone: no connection for so many seconds, which are longer
+# than a restart or a short cut, and so many failures, so that silence alone, where nobody
+# tried, is no sign. Chosen, not measured.
+DEAD_AFTER = 15.0
 DEAD_AFTER_FAILURES = 4
-WARM_UP_FLOOR = 0.05  # the part of its turns that a new upstream gets at first
-SLOWNESS_MEMORY = 0.05  # seconds in which a report of slowness falls to 1/e
+# Share of the picks that an upstream takes part in when it has just joined. With none it would
+# report nothing, and so stay unknown, until its warm-up is over. Chosen, not measured.
+WARM_UP_FLOOR = 0.05
+# Seconds in which a report of slowness falls to 1/e. Longer, entries avoid a server that is
+# fast again; shorter, they go back to one that is still slow. Chosen, not measured.
+SLOWNESS_MEMORY = 0.05
+# Largest part of its cost that is added to a candidate at random. Below the differences that
+# matter, above those of rounding. Chosen, not measured.
 COST_JITTER = 0.02
-FAR_CANDIDATES = 2  # compared from other availability zones, at least
-# Expected wait, in service times, at a server that is just full; how it rises up to there,
-# and how steeply beyond.
+# Candidates from other availability zones, at least. Measured: with none, a zone whose callers
+# grow does not see the room of the others.
+FAR_CANDIDATES = 2
+# Expected wait, in service times, at a server that is just full; the power by which it rises up
+# to there; and how much each further fill of the limit adds. Within the spread: 0.3 to 2 for
+# the weights, powers from 1 to 4.
 CROWDING = 1.0
 CROWDING_POWER = 2
 CROWDING_BEYOND = 2.0
+# Weight of one answer in the error rate of an upstream. Chosen, not measured.
 ERROR_WEIGHT = 0.3
-ERROR_MEMORY = 1.0  # seconds in which an error rate falls to 1/e
-ERROR_COST = 1.0  # seconds that a certain failure costs
-UNHEALTHY_FACTOR = 2.0  # how much dearer an upstream is that only the list calls unhealthy
-VOUCHED_SECONDS = 5.0  # how long a good answer outweighs the list
+# Seconds in which an error rate falls to 1/e, and seconds that a certain failure costs.
+# Measured together: with less, a server that fails fast draws requests, as it looks idle.
+ERROR_MEMORY = 1.0
+ERROR_COST = 1.0
+# Factor of the cost where only the list calls an upstream unhealthy: a hint, as the list lags.
+# Chosen, not measured.
+UNHEALTHY_FACTOR = 2.0
+# Seconds for which a good answer outweighs the list. Measured: without it a list that is wrong
+# about many servers crowds the others.
+VOUCHED_SECONDS = 5.0
 
 
 @dataclass(slots=True, eq=False)
@@ -60,11 +109,11 @@
     reported_at: float = 0.0
     sent_since_report: int = 0
     done_since_report: int = 0
-    failures: int = 0
+    failures: int = 0  # in a row
     paused_until: float = 0.0
-    errors: float = 0.0
+    errors: float = 0.0  # the part of answers that failed, as of `errors_at`
     errors_at: float = 0.0
-    vouched_until: float = 0.0
+    vouched_until: float = 0.0  # until then a good answer outweighs the list
     unreachable_since: float | None = None  # when its daemon stopped taking connections
     leaving: bool = False  # listed as leaving; a report can't take that back
 
@@ -102,23 +151,23 @@
             self.vouched_until = now + VOUCHED_SECONDS
 
     def error_rate(self, now: float) -> float:
-        """The recent part of failed answers; fades, so that it is tried again."""
+        """The part of recent answers that failed; it fades, so that it is tried again."""
         return self.errors * exp(-(now - self.errors_at) / ERROR_MEMORY)
 
     def on_unreachable(self, now: float, rng: Random) -> None:
-        """Its daemon took no connection: a failure, and perhaps the end of its machine."""
+        """Its daemon took no connection: a failure, and perhaps its machine is gone."""
         if self.unreachable_since is None:
             self.unreachable_since = now
         self.on_failure(now, rng)
 
     def is_dead(self, now: float) -> bool:
-        """Whether it was tried again and again for so long that its machine must be gone."""
+        """Whether its machine must be gone: no try connected, for long and several times."""
         since = self.unreachable_since
         tried = self.failures >= DEAD_AFTER_FAILURES
         return since is not None and tried and now - since >= DEAD_AFTER
 
     def on_failure(self, now: float, rng: Random) -> None:
-        """It failed or could not be reached: leave it alone, longer each time."""
+        """It failed or could not be reached: leave it alone, longer after each in a row."""
         self.failures += 1
         pause = min(FAILURE_LAST_PAUSE, FAILURE_FIRST_PAUSE * 2 ** (self.failures - 1))
         self.paused_until = now + pause * (0.5 + rng.random())
@@ -126,21 +175,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ChooserSettings:
-    """The operator's settings. Times in seconds.
+    """The operator's settings; default.ini says when to change them. Times in seconds."""
 
-    `candidates` of the own availability zone are compared for each request; `far_penalty` is
-    the cost of leaving that zone; `bounce_wait` is the wait at a busy upstream above which
-    another is tried instead (about what another try costs); an upstream that joins gets its
-    full part of the calls after `warm_up`. `miss_penalty` is what an answer after the call's
-    target costs more than one before it. After `max_bounces` refusals a call queues.
-    """
-
-    candidates: int = 4
-    far_penalty: float = 0.002
+    candidates: int = 4  # of the own availability zone, compared for each request
+    far_penalty: float = 0.002  # what leaving that zone costs
+    # Longest wait at a busy upstream while others are left: about what another try costs.
     bounce_wait: float = 0.008
-    warm_up: float = 5.0
-    miss_penalty: float = 0.0
-    max_bounces: int = 2
+    warm_up: float = 5.0  # until an upstream that joins gets its full part of the calls
+    miss_penalty: float = 0.0  # what an answer after the call's target costs more
+    max_bounces: int = 2  # refusals of a longer wait, after which a call queues
 
 
 @dataclass(slots=True)
@@ -164,10 +207,10 @@
     def pick(
         self, upstreams: Sequence[Upstream], now: float, tried: Set[str] = frozenset()
     ) -> Upstream | None:
-        """The upstream to try next; None if each is tried already or draining.
+        """The upstream to try next; None if each is tried already or leaving.
 
         When none of the rest is in good standing the pick is an even spread over all of
-        them: the signs may be wrong, and piling on the last good one would fell it too.
+        them: the signs may be wrong, and all load on the last good one would fell it too.
         """
         open_ones = [u for u in upstreams if u.name not in tried and not u.draining]
         if not open_ones:
@@ -175,7 +218,7 @@
         well = [u for u in open_ones if u.paused_until <= now]
         if not well:
             return self.rng.choice(open_ones)
-        warm = [u for u in well if self._has_its_turn(u, now)]
+        warm = [u for u in well if self._takes_part(u, now)]
         drawn = self._draw(warm or well)
         if len(drawn) == 1:
             return drawn[0]
@@ -183,49 +226,14 @@
         typical = max(MIN_SERVICE, min(known, default=INITIAL_SERVICE))
         return min(drawn, key=lambda u: self.cost(u, typical, now) * self._jitter())
 
-    def soonest(
-        self, upstreams: Sequence[Upstream], now: float, target: float = ANY_WAIT
-    ) -> Upstream | None:
-        """Where a request that was refused by each of `upstreams` just now waits least.
-
-        Their refusals told their load exactly, so it is taken as it is, undiscounted. An
-        answer after `target` (seconds, monotonic) is worth little.
-        """
-        open_ones = [u for u in upstreams if not u.draining and u.report is not None]
-        if not open_ones:
-            return self.pick(upstreams, now)
-        return min(open_ones, key=lambda u: self._told_cost(u, now, target) * self._jitter())
-
-    def _told_cost(self, upstream: Upstream, now: float, target: float) -> float:
-        report = upstream.report
-        assert report is not None
-        service = report.service * self._slowness(upstream, now)
-        ahead = report.in_flight + report.queued + upstream.sent_since_report + 1
-        cost = service * (1.0 + max(0, ahead - report.limit) / max(1, report.limit))
-        if now + cost > target:
-            cost += self.settings.miss_penalty
-        if upstream.zone != self.zone:
-            cost += self.settings.far_penalty
-        return cost
-
-    def has_choice(self, upstreams: Sequence[Upstream], now: float, tried: Set[str]) -> bool:
-        """Whether an upstream in good standing is left that was not tried."""
-        return any(
-            u.name not in tried and not u.draining and u.paused_until <= now for u in upstreams
-        )
-
     def cost(self, upstream: Upstream, typical: float, now: float) -> float:
         """Expected seconds until an answer, if the request went to `upstream`, and what its
         way costs besides.
 
         `typical` is the service time, in seconds, of those that it is compared with.
         """
-        report = upstream.report
-        is_slow = report is not None and report.service > SAME_SERVICE * typical
-        service = report.service if report is not None and is_slow else typical
-        service *= self._slowness(upstream, now)
-        fill = self._fill(upstream, now)
-        cost = service * (1.0 + _crowding(fill))
+        cost = self._service_time(upstream, typical, now)
+        cost *= 1.0 + _crowding(self._fill(upstream, now))
         if not upstream.healthy and upstream.vouched_until < now:
             cost *= UNHEALTHY_FACTOR
         if upstream.zone != self.zone:
@@ -234,24 +242,32 @@
         cost += upstream.error_rate(now) * ERROR_COST
         return cost
 
-    def _slowness(self, upstream: Upstream, now: float) -> float:
-        """How long work is thought to take there now, as a part of the usual."""
-        if upstream.report is None:
-            return 1.0
-        trust = exp(-(now - upstream.reported_at) / SLOWNESS_MEMORY)
-        return 1.0 + trust * (upstream.report.slowness - 1.0)
+    def has_choice(self, upstreams: Sequence[Upstream], now: float, tried: Set[str]) -> bool:
+        """Whether an upstream in good standing is left that was not tried."""
+        return any(
+            u.name not in tried and not u.draining and u.paused_until <= now for u in upstreams
+        )
+
+    def soonest(
+        self, upstreams: Sequence[Upstream], now: float, target: float = ANY_WAIT
+    ) -> Upstream | None:
+        """Where a request that was refused by each of `upstreams` just now waits least.
+
+        Their refusals reported their load exactly, so it is taken as it is, undiscounted. An
+        answer after `target` (seconds, monotonic) costs `miss_penalty` more.
+        """
+        open_ones = [u for u in upstreams if not u.draining and u.report is not None]
+        if not open_ones:
+            return self.pick(upstreams, now)
+        return min(open_ones, key=lambda u: self._queue_cost(u, now, target) * self._jitter())
 
-    def _has_its_turn(self, upstream: Upstream, now: float) -> bool:
-        """A new upstream takes part in a growing share of the picks."""
+    def _takes_part(self, upstream: Upstream, now: float) -> bool:
+        """Whether an upstream takes part in this pick: a new one does in a growing share."""
         if not upstream.joined or now >= upstream.joined + self.settings.warm_up:
             return True
         warmth = (now - upstream.joined) / self.settings.warm_up
         return self.rng.random() < max(WARM_UP_FLOOR, warmth)
 
-    def _jitter(self) -> float:
-        """Parts ties, and keeps entries that know the same from choosing the same."""
-        return 1.0 + COST_JITTER * self.rng.random()
-
     def _draw(self, upstreams: list[Upstream]) -> list[Upstream]:
         """The candidates: some of the own availability zone, and a few of the others.
 
@@ -267,11 +283,25 @@
     def _sample(self, upstreams: list[Upstream], count: int) -> list[Upstream]:
         return upstreams if len(upstreams) <= count else self.rng.sample(upstreams, count)
 
+    def _service_time(self, upstream: Upstream, typical: float, now: float) -> float:
+        """Expected seconds of work there now; those reported, where they differ clearly."""
+        report = upstream.report
+        is_slow = report is not None and report.service > SAME_SERVICE * typical
+        service = report.service if report is not None and is_slow else typical
+        return service * self._slowness(upstream, now)
+
+    def _slowness(self, upstream: Upstream, now: float) -> float:
+        """The expected ratio of the present service time there to the usual one."""
+        if upstream.report is None:
+            return 1.0
+        trust = exp(-(now - upstream.reported_at) / SLOWNESS_MEMORY)
+        return 1.0 + trust * (upstream.report.slowness - 1.0)
+
     def _fill(self, upstream: Upstream, now: float) -> float:
         """How full it is thought to be, as a part of its limit and this request included."""
         report = upstream.report
-        # One that has told nothing yet is taken to be like the rest: with a smaller limit it
-        # would look fuller than they do, and get no work at light load.
+        # One that has reported nothing yet is taken to be like the rest: with a smaller limit
+        # it would look fuller than they do, and get no work at light load.
         limit = float(max(1, report.limit)) if report else self._pool_limit or INITIAL_LIMIT
         own = OWN_WEIGHT * upstream.in_flight / limit + 1 / limit
         if report is None:
@@ -283,6 +313,23 @@
         thought = trust * fresh / limit + (1.0 - trust) * self._pool_load
         return own + REPORT_WEIGHT * thought
 
+    def _queue_cost(self, upstream: Upstream, now: float, target: float) -> float:
+        """Expected seconds until an answer by the last report alone, and what else it costs."""
+        report = upstream.report
+        assert report is not None
+        service = report.service * self._slowness(upstream, now)
+        ahead = report.in_flight + report.queued + upstream.sent_since_report + 1
+        cost = service * (1.0 + max(0, ahead - report.limit) / max(1, report.limit))
+        if now + cost > target:
+            cost += self.settings.miss_penalty
+        if upstream.zone != self.zone:
+            cost += self.settings.far_penalty
+        return cost
+
+    def _jitter(self) -> float:
+        """Parts ties, and keeps entries that know the same from choosing the same."""
+        return 1.0 + COST_JITTER * self.rng.random()
+
 
 def _crowding(fill: float) -> float:
     """Expected wait in service times at a fill; mild while there is room, steep beyond."""
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -13,7 +13,7 @@
 
 from wheatslipd.chain import EntryRequest, Filter, Proceed
 from wheatslipd.controllers.view import View
-from wheatslipd.http.messages import RequestHead
+from wheatslipd.http.messages import MILLISECONDS, RequestHead
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.outcomes import describe
@@ -30,7 +30,6 @@
 SAFE_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS"})
 READ_ONLY = RequestKind("read", repeatable=True)
 ONCE = RequestKind("once", repeatable=False)
-MILLISECONDS = 1000.0
 
 
 @dataclass(slots=True)
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -13,11 +13,9 @@
 from wheatslip.retryafter import NO_SUCH_SERVICE
 
 from wheatslipd.chain import EntryRequest, Proceed
-from wheatslipd.http.messages import RequestHead
+from wheatslipd.http.messages import MILLISECONDS, RequestHead
 from wheatslipd.settings import HeaderNames
 
-MILLISECONDS = 1000.0
-
 
 @dataclass(slots=True)
 class RouteFilter:
--- a/packages/wheatslipd/wheatslipd/gate/health.py
+++ b/packages/wheatslipd/wheatslipd/gate/health.py
@@ -4,10 +4,9 @@
 
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.http.body import Body, BodyBroken
-from wheatslipd.http.messages import RequestHead, ResponseHead
+from wheatslipd.http.messages import MILLISECONDS, RequestHead, ResponseHead
 
 MAX_BODY_BYTES = 64 * 1024
-MILLISECONDS = 1000.0
 
 
 async def ask_health(backend: Backend, path: str, timeout: float) -> ResponseHead | None:
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -25,13 +25,13 @@
 
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
-from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER, MILLISECONDS
+from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.gate.gate import Gate
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.http.body import BodyBroken
 from wheatslipd.http.exchange import Exchange
-from wheatslipd.http.messages import Headers, RequestHead, ResponseHead
+from wheatslipd.http.messages import MILLISECONDS, Headers, RequestHead, ResponseHead
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.outcomes import describe
--- a/packages/wheatslipd/wheatslipd/http/messages.py
+++ b/packages/wheatslipd/wheatslipd/http/messages.py
@@ -21,6 +21,7 @@
     }
 )
 OWN_PREFIX = b"wheatslip-"
+MILLISECONDS = 1000.0  # in a second; times in headers are in milliseconds
 NO_BODY_STATUSES = frozenset({204, 304})
 
 _REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
