--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -7,8 +7,8 @@
 
 | rule | outcome |
 |---|---|
-| whose gate it is, is not known | refused, try again in 0.2 s |
-| the server leaves or is lost, its zone is emptied, or the deadline has passed | refused |
+| the gate is closed | refused, as the table in `closures` says |
+| the deadline has passed | refused |
 | the server is slow now, and the sender has others to try | refused, goes elsewhere |
 | there is a free slot, no one waits, no slow stretch is waited out, and a cold server has a \
 turn for it | starts |
@@ -22,13 +22,13 @@
 from dataclasses import dataclass, field
 from math import ceil
 
+from wheatslip.admission.closures import Closures
 from wheatslip.admission.coldturns import ColdTurns
 from wheatslip.admission.judgement import Judgement
 from wheatslip.admission.line import WaitingLine
 from wheatslip.admission.ticket import (
     ANY_WAIT,
     MIN_RETRY_AFTER,
-    NOT_READY_RETRY_AFTER,
     AdmissionSettings,
     Ticket,
 )
@@ -54,10 +54,7 @@
 
     settings: AdmissionSettings
     judgement: Judgement = field(init=False)
-    draining: bool = False
-    emptied: bool = False  # its zone is: nothing new may reach the server
-    unknown: bool = False  # whose gate it is, is not known yet
-    lost: bool = False  # the server resets what is sent to it
+    closures: Closures = field(init=False, default_factory=Closures)
     last_finished: float = float("-inf")
     cold: ColdTurns = field(init=False, default_factory=ColdTurns)
     _line: WaitingLine = field(init=False)
@@ -132,7 +129,7 @@
         Only a call that could start now, and meets its target if the server is fast but misses
         it if slow, gains: told fast it may be spared a slow start, told slow a refusal.
         """
-        if self._is_closed:
+        if self.closures.holding:
             return 0.0
         if self.queued or not self._has_room(now):
             return 0.0  # it waits, and starts when an answer has told the speed anew
@@ -184,9 +181,11 @@
 
         `max_wait`: the sender would rather try elsewhere than wait so many seconds.
         """
-        refusal = self._closed(call, now)
-        if refusal is not None:
-            return refusal
+        closed = self.closures.refusal
+        if closed is not None:
+            return closed
+        if call.remaining(now) <= 0:
+            return NotRun(Reason.DEADLINE)
         ticket = Ticket(call, now, max_wait=max_wait)
         if max_wait < ANY_WAIT and self.judgement.is_better_elsewhere(call, max_wait, now):
             return self._refusal(0.0)
@@ -264,7 +263,7 @@
         too late by it; for anything else a refusal in time is better.
         """
         self._line.remove(ticket)
-        if not self._has_room(now) or self._is_closed:
+        if not self._has_room(now) or self.closures.holding:
             return False
         call = ticket.call
         bound = LAST_RESORT * (call.target - now)
@@ -286,24 +285,6 @@
         """Tickets pushed out of a full queue since the last call."""
         return self._line.take_evicted()
 
-    @property
-    def _is_closed(self) -> bool:
-        return self.emptied or self.unknown or self.draining or self.lost
-
-    def _closed(self, call: Call, now: float) -> NotRun | None:
-        """Why nothing may start here at all, if so."""
-        if self.emptied:
-            return NotRun(Reason.ZONE_EMPTIED)
-        if self.unknown:
-            return NotRun(Reason.NOT_READY, NOT_READY_RETRY_AFTER)
-        if self.draining:
-            return NotRun(Reason.DRAINING)
-        if self.lost:
-            return NotRun(Reason.UNREACHABLE, NOT_READY_RETRY_AFTER)
-        if call.remaining(now) <= 0:
-            return NotRun(Reason.DEADLINE)
-        return None
-
     def _misses_target(self, call: Call, wait: float, now: float) -> bool:
         """Whether a call that has to wait will miss its target, by the queue that is known.
 
--- /dev/null
+++ b/packages/wheatslip/wheatslip/admission/closures.py
@@ -0,0 +1,69 @@
+"""Why the gate of one backend server is closed.
+
+While at least one reason holds, no request may start. An arrival is refused for the first one
+that holds, in the order of `ClosedBy`:
+
+| reason | holds from | until | refused as |
+|---|---|---|---|
+| zone unknown | the start | the zone drains are known | `zone-emptied` |
+| zone drained | an operator drains the server's zone | it is restored | `zone-emptied` |
+| server unknown | the start, or an answer of a server that is not the registered one \
+| a server registers | `not-ready` |
+| server leaves | the server or an operator says so | a server registers, or the stop is taken \
+back | `draining` |
+| server lost | connections fail several times in a row | it answers | `unreachable` |
+
+Only the methods of the daemon's `Gate` change the reasons.
+"""
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from wheatslip.admission.ticket import NOT_READY_RETRY_AFTER
+from wheatslip.outcome import NotRun, Reason
+
+
+class ClosedBy(StrEnum):
+    """A reason for which a gate is closed, the one that is named first at the top."""
+
+    # Until the zone drains are known the zone may be drained, so callers hear the same as if it
+    # were: another zone serves them.
+    ZONE_UNKNOWN = "zone-unknown"
+    ZONE_DRAINED = "zone-drained"
+    SERVER_UNKNOWN = "server-unknown"
+    SERVER_LEAVES = "server-leaves"
+    SERVER_LOST = "server-lost"
+
+    @property
+    def refusal(self) -> NotRun:
+        """What an arrival hears."""
+        return _REFUSALS[self]
+
+
+_REFUSALS = {
+    ClosedBy.ZONE_UNKNOWN: NotRun(Reason.ZONE_EMPTIED),
+    ClosedBy.ZONE_DRAINED: NotRun(Reason.ZONE_EMPTIED),
+    ClosedBy.SERVER_UNKNOWN: NotRun(Reason.NOT_READY, NOT_READY_RETRY_AFTER),
+    ClosedBy.SERVER_LEAVES: NotRun(Reason.DRAINING),
+    ClosedBy.SERVER_LOST: NotRun(Reason.UNREACHABLE, NOT_READY_RETRY_AFTER),
+}
+
+
+@dataclass(slots=True)
+class Closures:
+    """The reasons that hold now, in the order of `ClosedBy`; the gate is open if none does."""
+
+    holding: tuple[ClosedBy, ...] = ()
+
+    def add(self, reason: ClosedBy) -> None:
+        """The reason holds from now on."""
+        self.holding = tuple(r for r in ClosedBy if r is reason or r in self.holding)
+
+    def remove(self, reason: ClosedBy) -> None:
+        """The reason does not hold any more, if it did."""
+        self.holding = tuple(r for r in self.holding if r is not reason)
+
+    @property
+    def refusal(self) -> NotRun | None:
+        """What an arrival hears, None while the gate is open."""
+        return self.holding[0].refusal if self.holding else None
--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -54,8 +54,8 @@
             logs.info("zone-restored", zone=zone, version=drains.version)
         self._metrics.zones_drained.set({}, len(drains.drains))
         if self._zone in drains.zones:
-            self._gate.empty()
+            self._gate.zone_drained()
         elif before is None:
-            self._gate.open_zone()
+            self._gate.zone_not_drained()
         elif self._zone in known:
-            self._gate.restore()
+            self._gate.zone_restored()
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from wheatslip.admission import Admission, AdmissionSettings
+from wheatslip.admission import Admission, AdmissionSettings, ClosedBy
 from wheatslip.budget import RetryBudgets
 from wheatslip.chooser import Chooser
 from wheatslip.config.bundle import Bundle
@@ -100,9 +100,17 @@
             settings.feed,
         )
         self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
-        self.gate = Gate(Admission(AdmissionSettings()), self.view, monotonic)
-        # Whether the zone is emptied is not known yet, so nothing may start.
-        self.gate.admission.emptied = True
+        registers = settings.registration_port is not None
+        self.gate = Gate(
+            Admission(AdmissionSettings()),
+            self.view,
+            monotonic,
+            closed_by=(
+                ClosedBy.ZONE_UNKNOWN,
+                *((ClosedBy.SERVER_UNKNOWN,) if registers else ()),
+            ),
+            is_probed=registers,
+        )
         self._backend = Backend(
             settings.backend_address,
             settings.backend_port,
@@ -206,14 +214,14 @@
         if not self.view.draining:
             logs.info("draining", cause=cause, in_flight=self.gate.admission.in_flight)
         self.view.draining = True
-        self.gate.drain()
+        self.gate.server_leaves()
 
     def take_back_drain(self) -> None:
         """Take new work again: it was not this start that was to drain."""
         if self.view.draining and not self.view.stopping:
             logs.info("drain-taken-back")
             self.view.draining = False
-            self.gate.reopen()
+            self.gate.server_stays()
 
     def take_bounds(self, bundle: Bundle) -> None:
         """Apply the pool's limits and the workspaces' shares."""
@@ -237,7 +245,7 @@
             self.drain(f"backend server {registered.server} leaves")
         else:
             self.view.draining = False
-            self.gate.reopen()
+            self.gate.server_stays()
         self._publish()
 
     def check_own_entry(
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from wheatslip.admission import MIN_RETRY_AFTER, NOT_READY_RETRY_AFTER, Admission, Ticket
+from wheatslip.admission import MIN_RETRY_AFTER, Admission, ClosedBy, Ticket
 from wheatslip.backendload import BackendLoad
 from wheatslip.call import Call
 from wheatslip.hop import LoadReport
@@ -21,12 +21,26 @@
 class Gate:
     """Owns the admission of one backend server."""
 
-    def __init__(self, admission: Admission, view: View, clock: Callable[[], float]):
+    def __init__(
+        self,
+        admission: Admission,
+        view: View,
+        clock: Callable[[], float],
+        *,
+        closed_by: tuple[ClosedBy, ...] = (),
+        is_probed: bool = False,
+    ):
+        """`closed_by`: the reasons to be closed that hold from the start. `is_probed`: someone
+        probes the server while `in_doubt` is set; without that a lost server is not noted, as
+        nothing would open the gate again.
+        """
         self.admission = admission
+        for reason in closed_by:
+            admission.closures.add(reason)
         self._view = view
         self._clock = clock
         self.in_doubt = asyncio.Event()  # set while the server is slow or lost, so ask it
-        self.is_probed = False  # whether someone asks the server while it is in doubt
+        self._is_probed = is_probed
         # Asks the server how fast it is, in bounded time; None: it is never asked.
         self.ask_speed: Callable[[], Awaitable[None]] | None = None
         # What one such question costs, as a part of what an answer within its target is worth.
@@ -56,20 +70,49 @@
         started = self.admission.finish(ticket, self._clock(), worked=worked)
         self._wake(started)
 
-    def on_stranger(self) -> None:
-        """What stands here says that it is not the server that is registered: nothing more is
-        sent until a heartbeat tells who is there. Each request would reach it in vain, and be
+    def is_closed_by(self, reason: ClosedBy) -> bool:
+        """Whether this reason to be closed holds, perhaps beside others."""
+        return reason in self.admission.closures.holding
+
+    def server_replaced(self) -> None:
+        """The server answered that it is not the registered one: nothing more is sent until a
+        heartbeat says which server it is. It would turn each request away, and each would be
         paid for as a retry.
         """
-        if not self.admission.unknown:
+        if not self.is_closed_by(ClosedBy.SERVER_UNKNOWN):
             logs.info("backend-replaced", in_flight=self.admission.in_flight)
-            self.admission.unknown = True
-            self._refuse_waiting(NotRun(Reason.NOT_READY, NOT_READY_RETRY_AFTER))
+            self._close(ClosedBy.SERVER_UNKNOWN)
+
+    def server_leaves(self) -> None:
+        """Refuse new work from now on; what waits is refused too, as it has not run."""
+        self._close(ClosedBy.SERVER_LEAVES)
+
+    def server_stays(self) -> None:
+        """The server is known, and does not leave: take new work again."""
+        self.admission.closures.remove(ClosedBy.SERVER_UNKNOWN)
+        self.admission.closures.remove(ClosedBy.SERVER_LEAVES)
 
-    def reopen(self) -> None:
-        """A backend server is known to stand here: take new work again."""
-        self.admission.unknown = False
-        self.admission.draining = False
+    def zone_drained(self) -> None:
+        """Nothing new may reach the server; what runs ends by itself."""
+        self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
+        self._close(ClosedBy.ZONE_DRAINED)
+
+    def zone_not_drained(self) -> None:
+        """The zone drains are read for the first time, and the zone is not among them."""
+        self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
+
+    def zone_restored(self) -> None:
+        """The zone is not drained any more. The server may have turned cold meanwhile, so it
+        gets no more than a cold server bears until it is probed.
+        """
+        self.admission.closures.remove(ClosedBy.ZONE_DRAINED)
+        self.admission.cold.assume(self._clock())
+        self.in_doubt.set()
+
+    def _close(self, reason: ClosedBy) -> None:
+        """Refuse what arrives and what waits."""
+        self.admission.closures.add(reason)
+        self._refuse_waiting(reason.refusal)
 
     def expect_load(self) -> None:
         """Another backend server stands here: how fast it is, is not known until it tells."""
@@ -113,11 +156,15 @@
         likely that it is fast again, and the entries should hear so.
         """
         admission = self.admission
-        if admission.emptied:
+        if self.is_closed_by(ClosedBy.ZONE_UNKNOWN) or self.is_closed_by(ClosedBy.ZONE_DRAINED):
             return False
         if admission.cold.is_assumed(self._clock()):
             return True
-        if admission.lost or not admission.is_speed_known or admission.queued:
+        if (
+            self.is_closed_by(ClosedBy.SERVER_LOST)
+            or not admission.is_speed_known
+            or admission.queued
+        ):
             return True
         return self._clock() - self.load_seen >= admission.speed.slow_stretch
 
@@ -129,9 +176,9 @@
     def on_answer(self) -> None:
         """The backend server answered, whatever it was."""
         self._lost_in_a_row = 0
-        if self.admission.lost:
+        if self.is_closed_by(ClosedBy.SERVER_LOST):
             logs.info("backend-back")
-            self.admission.lost = False
+            self.admission.closures.remove(ClosedBy.SERVER_LOST)
             # It may have crashed and come back; the one who asked it clears this, if it told.
             self.admission.cold.assume(self._clock())
             self.forget_slowness()
@@ -142,18 +189,19 @@
         After some in a row nothing more is sent until it answers a question about its health:
         each request sent might be one that may not run twice.
         """
-        if not self.is_probed:
+        if not self._is_probed:
             return
         self._lost_in_a_row += 1
-        if self._lost_in_a_row < LOST_IN_A_ROW or self.admission.lost:
+        if self._lost_in_a_row < LOST_IN_A_ROW or self.is_closed_by(ClosedBy.SERVER_LOST):
             return
         logs.warning("backend-lost", in_flight=self.admission.in_flight)
-        self.admission.lost = True
+        self.admission.closures.add(ClosedBy.SERVER_LOST)
         self.in_doubt.set()
+        # Not `ClosedBy.refusal`: what waits here is told a shorter time than an arrival.
         self._refuse_waiting(NotRun(Reason.UNREACHABLE, MIN_RETRY_AFTER))
 
     def _be_fast_again(self) -> None:
-        if self.in_doubt.is_set() and not self.admission.lost:
+        if self.in_doubt.is_set() and not self.is_closed_by(ClosedBy.SERVER_LOST):
             self.in_doubt.clear()
             self._wake(self.admission.admit(self._clock()))
 
@@ -168,28 +216,6 @@
         self.admission.slowness = 1.0
         self._be_fast_again()
 
-    def empty(self) -> None:
-        """The zone is emptied: nothing new may reach the server, what runs ends by itself."""
-        self.admission.emptied = True
-        self._refuse_waiting(NotRun(Reason.ZONE_EMPTIED))
-
-    def open_zone(self) -> None:
-        """The zone is not emptied, by the first word on it."""
-        self.admission.emptied = False
-
-    def restore(self) -> None:
-        """The zone is taken back: work may come again, as little as a cold server bears until
-        this one is asked how it is.
-        """
-        self.admission.emptied = False
-        self.admission.cold.assume(self._clock())
-        self.in_doubt.set()
-
-    def drain(self) -> None:
-        """Refuse new work from now on; what waits is refused too, as it has not run."""
-        self.admission.draining = True
-        self._refuse_waiting(NotRun(Reason.DRAINING))
-
     def _refuse_waiting(self, refusal: NotRun) -> None:
         for ticket, future in list(self._waiting.items()):
             if not future.done():
@@ -206,7 +232,7 @@
             limit=admission.reported_limit(now),
             service=round(admission.usual_service(now), 4),
             version=self._view.version,
-            draining=admission.draining,
+            draining=self.is_closed_by(ClosedBy.SERVER_LEAVES),
             slowness=round(admission.slowness, 2),
         )
 
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -225,7 +225,7 @@
         self._learn_load(response.head)
         if self._was_not_run(response.head, passage.call):
             if self.server and response.head.status == MISDIRECTED:
-                self._gate.on_stranger()
+                self._gate.server_replaced()
             return NotRun(Reason.SHED, retry_after=SHED_RETRY_AFTER)
         headers = [
             (name, value)
--- a/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
+++ b/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
@@ -7,6 +7,8 @@
 import asyncio
 from collections.abc import Callable
 
+from wheatslip.admission import ClosedBy
+
 from wheatslipd.gate.gate import Gate
 from wheatslipd.gate.speedcheck import SpeedCheck
 
@@ -35,5 +37,6 @@
                 continue
             if self._gate.wants_word():
                 await self._check.ask()
-            pause = LOST_INTERVAL if self._gate.admission.lost else self._interval
+            is_lost = self._gate.is_closed_by(ClosedBy.SERVER_LOST)
+            pause = LOST_INTERVAL if is_lost else self._interval
             await asyncio.sleep(pause)
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -89,9 +89,6 @@
             settings.name, store, view, clock, removal_turn, listed_version
         )
         self.registration_server = Server(self._registrar.handle)
-        gate.is_probed = True
-        # Who stands there, and whether it leaves, is not known yet.
-        gate.admission.unknown = True
 
     async def listen(self) -> None:
         """Listen for heartbeats. Raises OSError."""
@@ -131,7 +128,7 @@
         if registered.warm_at is not None:
             self._gate.admission.cold.told(registered.warm_at - now, now)
         if not registered.draining:
-            self._gate.reopen()
+            self._gate.server_stays()
 
     def take_registration(self, registered: Registered) -> None:
         """Apply the bounds that the server tells; of a new one, ask how fast it is."""
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -6,6 +6,7 @@
 from random import Random
 
 import aiohttp
+from wheatslip.admission import ClosedBy
 from wheatslipd.daemon import Daemon, Ports
 from wheatslipd.settings import parse_settings
 
@@ -181,7 +182,7 @@
             return all(
                 d.status().version == version
                 and d.status().members == len(self.daemons)
-                and not d.gate.admission.unknown
+                and not d.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
                 for d in self.daemons.values()
             )
 
@@ -200,7 +201,7 @@
             name: (
                 self.tasks[name].done(),
                 daemon.status(),
-                daemon.gate.admission.unknown,
+                daemon.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN),
                 daemon.view.drains,
                 sorted(daemon.feed.cache.instances),
                 daemon.feed.cache.listed,
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -3,7 +3,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from wheatslip.admission import Admission, AdmissionSettings, Ticket
+from wheatslip.admission import Admission, AdmissionSettings, ClosedBy, Ticket
 from wheatslip.call import Call, CallClass, RequestKind
 from wheatslip.fairqueue import FairQueue
 from wheatslip.outcome import NotRun, Reason
@@ -69,9 +69,10 @@
 
     @rule()
     def drain(self):
-        self.admission.draining = True
+        self.admission.closures.add(ClosedBy.SERVER_LEAVES)
         assert self.admission.arrive(call(), self.now) == NotRun(Reason.DRAINING)
-        self.admission.draining = False  # so that the rest of the course meets a working gate
+        # So that the rest of the course meets a working gate.
+        self.admission.closures.remove(ClosedBy.SERVER_LEAVES)
 
     def _drop_evicted(self):
         for ticket in self.admission.evicted():
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -3,7 +3,7 @@
 import asyncio
 import dataclasses
 
-from wheatslip.admission import ANY_WAIT, Admission, AdmissionSettings, Ticket
+from wheatslip.admission import ANY_WAIT, Admission, AdmissionSettings, ClosedBy, Ticket
 from wheatslip.backendload import BackendLoad, decode_backend_load
 from wheatslip.call import Call, RequestKind
 from wheatslip.outcome import NotRun, Reason
@@ -27,11 +27,10 @@
         return self.now
 
 
-def gate(slots=1):
+def gate(slots=1, is_probed=True):
     clock = Clock()
-    one = Gate(Admission(AdmissionSettings(slots=slots)), View(), clock)
-    one.is_probed = True
-    return one, clock
+    admission = Admission(AdmissionSettings(slots=slots))
+    return Gate(admission, View(), clock, is_probed=is_probed), clock
 
 
 def call(target=0.4, hold=0.1, deadline=1.0, kind=LOOKUP):
@@ -238,11 +237,30 @@
 
 def test_a_gate_to_no_one_known_refuses_without_saying_that_it_drains():
     one, _ = gate()
-    one.admission.unknown = True
+    one.admission.closures.add(ClosedBy.SERVER_UNKNOWN)
     refusal = one.admission.arrive(call(), 0.0)
     assert refusal.reason is Reason.NOT_READY and refusal.retryable
     assert not one.report().draining
-    one.reopen()
+    one.server_stays()
+    assert one.admission.arrive(call(), 0.0).started is not None
+
+
+def test_a_gate_that_is_closed_for_many_reasons_names_the_first():
+    one, _ = gate()
+    reasons = list(ClosedBy)
+    for reason in reversed(reasons):
+        one.admission.closures.add(reason)
+    told = []
+    for reason in reasons:
+        told.append(one.admission.arrive(call(), 0.0))
+        one.admission.closures.remove(reason)
+    assert told == [
+        NotRun(Reason.ZONE_EMPTIED),
+        NotRun(Reason.ZONE_EMPTIED),
+        NotRun(Reason.NOT_READY, 0.2),
+        NotRun(Reason.DRAINING),
+        NotRun(Reason.UNREACHABLE, 0.2),
+    ]
     assert one.admission.arrive(call(), 0.0).started is not None
 
 
@@ -253,7 +271,7 @@
         waiting = asyncio.create_task(one.enter(call(), ANY_WAIT))
         await asyncio.sleep(0)
         one.on_lost()
-        assert not one.admission.lost
+        assert not one.is_closed_by(ClosedBy.SERVER_LOST)
         one.on_lost()
         assert (await waiting).reason is Reason.UNREACHABLE
         assert one.admission.arrive(call(), 0.0).reason is Reason.UNREACHABLE
@@ -270,12 +288,11 @@
     for _ in range(10):
         one.on_lost()
         one.on_answer()
-    assert not one.admission.lost
+    assert not one.is_closed_by(ClosedBy.SERVER_LOST)
 
 
 def test_a_gate_that_no_one_reopens_is_not_closed():
-    one, _ = gate()
-    one.is_probed = False
+    one, _ = gate(is_probed=False)
     for _ in range(10):
         one.on_lost()
-    assert not one.admission.lost
+    assert not one.is_closed_by(ClosedBy.SERVER_LOST)
--- a/test/test_many_callers.py
+++ b/test/test_many_callers.py
@@ -2,6 +2,8 @@
 
 import asyncio
 
+from wheatslip.admission import ClosedBy
+
 from standins.cluster import HOST, eventually
 from test.helper import run
 from test.routed_fleet import fleet
@@ -46,7 +48,7 @@
                 return daemon.status().ready
 
             async def knows_its_server():
-                return not daemon.gate.admission.unknown
+                return not daemon.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
 
             await eventually(is_ready)
             port = daemon.entry_server.port
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wheatslip.admission import REFUSAL_LOSS, Admission, AdmissionSettings
+from wheatslip.admission import REFUSAL_LOSS, Admission, AdmissionSettings, ClosedBy
 from wheatslip.call import Call, RequestKind
 from wheatslip.slidinglimit import SlidingLimit
 from wheatslip.speed import SpeedModel
@@ -122,10 +122,10 @@
     assert admission.gain_of_asking(call(now=1.0), 1.0) == 0.0
     admission.finish(running[0], 1.0, worked=False)
     assert admission.gain_of_asking(call(now=1.0), 1.0) > 0.0
-    for flag in ("draining", "lost", "unknown"):
-        setattr(admission, flag, True)
+    for reason in (ClosedBy.SERVER_LEAVES, ClosedBy.SERVER_LOST, ClosedBy.SERVER_UNKNOWN):
+        admission.closures.add(reason)
         assert admission.gain_of_asking(call(now=1.0), 1.0) == 0.0
-        setattr(admission, flag, False)
+        admission.closures.remove(reason)
 
 
 def test_asking_a_server_told_slow_gains_at_most_what_a_refusal_costs():
