--- a/packages/wheatslip/wheatslip/admission/closures.py
+++ b/packages/wheatslip/wheatslip/admission/closures.py
@@ -19,8 +19,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from wheatslip.admission.ticket import NOT_READY_RETRY_AFTER
 from wheatslip.outcome import NotRun, Reason
+from wheatslip.retryafter import SERVER_LOST, SERVER_UNKNOWN
 
 
 class ClosedBy(StrEnum):
@@ -43,9 +43,9 @@
 _REFUSALS = {
     ClosedBy.ZONE_UNKNOWN: NotRun(Reason.ZONE_EMPTIED),
     ClosedBy.ZONE_DRAINED: NotRun(Reason.ZONE_EMPTIED),
-    ClosedBy.SERVER_UNKNOWN: NotRun(Reason.NOT_READY, NOT_READY_RETRY_AFTER),
+    ClosedBy.SERVER_UNKNOWN: SERVER_UNKNOWN,
     ClosedBy.SERVER_LEAVES: NotRun(Reason.DRAINING),
-    ClosedBy.SERVER_LOST: NotRun(Reason.UNREACHABLE, NOT_READY_RETRY_AFTER),
+    ClosedBy.SERVER_LOST: SERVER_LOST,
 }
 
 
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -3,11 +3,17 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from wheatslip.admission import MIN_RETRY_AFTER, Admission, ClosedBy, Ticket
+from wheatslip.admission import Admission, ClosedBy, Ticket
 from wheatslip.backendload import BackendLoad
 from wheatslip.call import Call
 from wheatslip.hop import LoadReport
 from wheatslip.outcome import NotRun, Reason
+from wheatslip.retryafter import (
+    EVICTED,
+    FASTER_ELSEWHERE,
+    LOST_WHILE_WAITING,
+    overloaded,
+)
 from wheatslip.speed import SLOW
 
 from wheatslipd.controllers.view import View
@@ -15,7 +21,6 @@
 from wheatslipd.telemetry import logs
 
 LOST_IN_A_ROW = 2
-EVICTED_RETRY_AFTER = 0.5  # seconds
 
 
 class Gate:
@@ -198,7 +203,7 @@
         self.admission.closures.add(ClosedBy.SERVER_LOST)
         self.in_doubt.set()
         # Not `ClosedBy.refusal`: what waits here is told a shorter time than an arrival.
-        self._refuse_waiting(NotRun(Reason.UNREACHABLE, MIN_RETRY_AFTER))
+        self._refuse_waiting(LOST_WHILE_WAITING)
 
     def _be_fast_again(self) -> None:
         if self.in_doubt.is_set() and not self.is_closed_by(ClosedBy.SERVER_LOST):
@@ -208,7 +213,7 @@
     def _send_elsewhere(self) -> None:
         """Refuse what waits here but would rather have gone to a faster server."""
         for ticket in self.admission.better_elsewhere(self._clock()):
-            self._tell(ticket, NotRun(Reason.OVERLOADED, MIN_RETRY_AFTER))
+            self._tell(ticket, FASTER_ELSEWHERE)
 
     def forget_slowness(self) -> None:
         """The backend server tells nothing of its speed, so it counts as usual."""
@@ -278,8 +283,7 @@
         now = self._clock()
         if call.hold_until > now:
             return NotRun(Reason.DEADLINE)
-        wait = self.admission.expected_wait(call, now)
-        return NotRun(Reason.OVERLOADED, max(MIN_RETRY_AFTER, wait))
+        return overloaded(self.admission.expected_wait(call, now))
 
     def _wake(self, started: list[Ticket]) -> None:
         for ticket in started:
@@ -300,7 +304,7 @@
 
     def _tell_evicted(self) -> None:
         for ticket in self.admission.evicted():
-            self._tell(ticket, NotRun(Reason.OVER_SHARE, EVICTED_RETRY_AFTER))
+            self._tell(ticket, EVICTED)
 
     def _tell(self, ticket: Ticket, refusal: NotRun | None) -> None:
         """End the wait of a ticket, if it waits; None: it has started."""
