--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -14,6 +14,7 @@
 from wheatslip.config.bundle import Bundle
 from wheatslip.ledger import KeyLedger
 from wheatslip.owners import OwnerHistory
+from wheatslip.slidinglimit import SlidingLimit
 from wheatslip.store.instances import Instance
 from wheatslip.store.objects import ObjectClient, ObjectStore
 from wheatslip.store.registration import Registered
@@ -33,14 +34,15 @@
 from wheatslipd.feed.feed import Feed
 from wheatslipd.feed.proof import proof_of
 from wheatslipd.gate.backend import Backend
-from wheatslipd.gate.gate import Gate
+from wheatslipd.gate.gate import Gate, SpeedProbing
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.gate.measure import Measurer
 from wheatslipd.gate.peerport import PeerPort
+from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.http.server import Server
 from wheatslipd.registration.ownserver import OwnServer
 from wheatslipd.registration.registrar import HeartbeatDecoder, decode_heartbeat
-from wheatslipd.settings import Interface, Settings
+from wheatslipd.settings import NO_CHECKS, Interface, Settings
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.pagesource import PageSource, Status
@@ -100,23 +102,20 @@
             settings.feed,
         )
         self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
-        registers = settings.registration_port is not None
-        self.gate = Gate(
-            Admission(AdmissionSettings()),
-            self.view,
-            monotonic,
-            closed_by=(
-                ClosedBy.ZONE_UNKNOWN,
-                *((ClosedBy.SERVER_UNKNOWN,) if registers else ()),
-            ),
-            is_probed=registers,
-        )
         self._backend = Backend(
             settings.backend_address,
             settings.backend_port,
             BACKEND_CONNECTIONS,
             settings.connect_timeout,
         )
+        self._speed_check = SpeedCheck(
+            self._backend,
+            settings.headers,
+            self.metrics,
+            monotonic,
+            SlidingLimit(settings.checks_per_second),
+        )
+        self.gate = self._make_gate()
         self._chooser = Chooser(settings.zone, rng, settings.chooser)
         owners = OwnerHistory()
         self._keys = KeyGuard(
@@ -321,6 +320,26 @@
         )
         Lifecycle(self).register(self.bus)
 
+    def _make_gate(self) -> Gate:
+        """The gate, closed until the zone drains are known and a server registers."""
+        settings = self.settings
+        admission = Admission(AdmissionSettings())
+        if settings.registration_port is None:
+            return Gate(
+                admission, self.view, self._monotonic, closed_by=(ClosedBy.ZONE_UNKNOWN,)
+            )
+        probing = None
+        if settings.check_price < NO_CHECKS and settings.headers.load:
+            probing = SpeedProbing(self._speed_check.ask_briefly, settings.check_price)
+        return Gate(
+            admission,
+            self.view,
+            self._monotonic,
+            closed_by=(ClosedBy.ZONE_UNKNOWN, ClosedBy.SERVER_UNKNOWN),
+            is_probed=True,
+            probing=probing,
+        )
+
     def _own_server(
         self, store: ObjectStore, rng: Random, decode: HeartbeatDecoder
     ) -> OwnServer | None:
@@ -331,6 +350,7 @@
             self.settings,
             self.view,
             self.gate,
+            self._speed_check,
             self._backend,
             store,
             self.metrics,
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
 from wheatslip.admission import Admission, ClosedBy, Ticket
 from wheatslip.backendload import BackendLoad
@@ -23,6 +24,14 @@
 LOST_IN_A_ROW = 2
 
 
+@dataclass(frozen=True, slots=True)
+class SpeedProbing:
+    """How a gate finds out before a request starts whether its server is slow now."""
+
+    probe: Callable[["Gate"], Awaitable[None]]  # lets the gate know, in bounded time
+    price: float  # of one probe, as a part of what an answer within its target is worth
+
+
 class Gate:
     """Owns the admission of one backend server."""
 
@@ -34,10 +43,11 @@
         *,
         closed_by: tuple[ClosedBy, ...] = (),
         is_probed: bool = False,
+        probing: SpeedProbing | None = None,
     ):
         """`closed_by`: the reasons to be closed that hold from the start. `is_probed`: someone
         probes the server while `in_doubt` is set; without that a lost server is not noted, as
-        nothing would open the gate again.
+        nothing would open the gate again. `probing` None: no request waits for a probe.
         """
         self.admission = admission
         for reason in closed_by:
@@ -46,10 +56,7 @@
         self._clock = clock
         self.in_doubt = asyncio.Event()  # set while the server is slow or lost, so ask it
         self._is_probed = is_probed
-        # Asks the server how fast it is, in bounded time; None: it is never asked.
-        self.ask_speed: Callable[[], Awaitable[None]] | None = None
-        # What one such question costs, as a part of what an answer within its target is worth.
-        self.check_price = 0.0
+        self._probing = probing
         self._lost_in_a_row = 0
         self.load_seen = float("-inf")  # when it last told of its load
         self._waiting: dict[Ticket, asyncio.Future[NotRun | None]] = {}
@@ -58,9 +65,9 @@
     async def enter(self, call: Call, max_wait: float) -> Ticket | NotRun:
         """Wait for a turn; the ticket that comes back has started and must be left with."""
         now = self._clock()
-        ask_speed = self.ask_speed
-        if ask_speed and self.admission.gain_of_asking(call, now) > self.check_price:
-            await ask_speed()
+        probing = self._probing
+        if probing and self.admission.gain_of_asking(call, now) > probing.price:
+            await probing.probe(self)
             now = self._clock()
         ticket = self.admission.arrive(call, now, max_wait)
         self._tell_evicted()
--- a/packages/wheatslipd/wheatslipd/gate/speedcheck.py
+++ b/packages/wheatslipd/wheatslipd/gate/speedcheck.py
@@ -30,7 +30,6 @@
 
     def __init__(
         self,
-        gate: Gate,
         backend: Backend,
         names: HeaderNames,
         metrics: Metrics,
@@ -38,7 +37,6 @@
         limit: SlidingLimit,
     ):
         """`names` has those of the load and of coldness in the endpoint's answer."""
-        self._gate = gate
         self._backend = backend
         self._names = names
         self._metrics = metrics
@@ -57,17 +55,17 @@
         else:
             self.has_path.clear()
 
-    async def ask(self) -> None:
-        """Ask, or wait for the answer to a question that is on its way already."""
-        question = self._begin()
+    async def ask(self, gate: Gate) -> None:
+        """Ask for `gate`, or wait for the answer to a question that is on its way already."""
+        question = self._begin(gate)
         if question is not None:
             await asyncio.shield(question)
 
-    async def ask_briefly(self) -> None:
+    async def ask_briefly(self, gate: Gate) -> None:
         """The same on behalf of a request, which waits no longer than `PATIENCE`."""
         if self._clock() < self._paused_until:
             return
-        question = self._begin()
+        question = self._begin(gate)
         if question is None:
             return
         done, _ = await asyncio.wait((question,), timeout=PATIENCE)
@@ -75,7 +73,7 @@
             self._paused_until = self._clock() + UNANSWERED_PAUSE
             logs.info("speed-check-unanswered", waited=PATIENCE, repeat_key="speed-check")
 
-    def _begin(self) -> asyncio.Task[bool] | None:
+    def _begin(self, gate: Gate) -> asyncio.Task[bool] | None:
         """The question on its way, a new one if there is none; None if none may be asked."""
         if self._question is not None and not self._question.done():
             return self._question
@@ -84,23 +82,23 @@
         if not self._limit.take(self._clock()):
             logs.info("speed-check-over-limit", repeat_key="speed-check-limit")
             return None
-        self._question = asyncio.get_running_loop().create_task(self._ask())
+        self._question = asyncio.get_running_loop().create_task(self._ask(gate))
         return self._question
 
-    async def _ask(self) -> bool:
+    async def _ask(self, gate: Gate) -> bool:
         """Ask once; whether the server answered."""
         self._metrics.probes.inc({})
         found = await ask_health(self._backend, self._path, TIMEOUT)
         if found is None:
             return False
-        self._gate.on_answer()
+        gate.on_answer()
         remaining = cold_remaining(found, self._names.cold)
         if remaining is not None:
-            self._gate.learn_cold(remaining)
+            gate.learn_cold(remaining)
         load = decode_backend_load(found.get(self._names.load) or b"")
         if load is not None:
-            self._gate.learn(load)
+            gate.learn(load)
         else:
             # It told nothing, so nothing is known: work finds out.
-            self._gate.forget_slowness()
+            gate.forget_slowness()
         return True
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -12,7 +12,6 @@
 from msgspec import UnsetType
 from wheatslip.admission import ColdRate, cold_rate
 from wheatslip.config.bundle import Pool
-from wheatslip.slidinglimit import SlidingLimit
 from wheatslip.store.instances import Instance, InstanceState
 from wheatslip.store.objects import ObjectStore
 from wheatslip.store.registration import Registered, Registration
@@ -27,7 +26,7 @@
 from wheatslipd.registration.publisher import Publisher
 from wheatslipd.registration.registrar import HeartbeatDecoder, Registrar
 from wheatslipd.registration.removal import DeadEntryRemover
-from wheatslipd.settings import NO_CHECKS, Settings
+from wheatslipd.settings import Settings
 from wheatslipd.telemetry.metrics import Metrics
 
 PUBLISH_SECONDS = 0.5  # that a planned stop waits for the last word on our list entry
@@ -41,6 +40,7 @@
         settings: Settings,
         view: View,
         gate: Gate,
+        check: SpeedCheck,
         backend: Backend,
         store: ObjectStore,
         metrics: Metrics,
@@ -71,19 +71,9 @@
             decode,
         )
         self._registrar.health_path = settings.health_path
-        self._check = SpeedCheck(
-            gate,
-            backend,
-            settings.headers,
-            metrics,
-            clock,
-            SlidingLimit(settings.checks_per_second),
-        )
+        self._check = check
         self._check.use_path(settings.health_path)
         self._probe = RecoveryProbe(gate, self._check, clock, settings.recovery_probe)
-        if settings.check_price < NO_CHECKS and settings.headers.load:
-            gate.ask_speed = self._check.ask_briefly
-            gate.check_price = settings.check_price
         self._publisher = Publisher(store, rng)
         self.remover = DeadEntryRemover(
             settings.name, store, view, clock, removal_turn, listed_version
--- a/test/test_recoveryprobe.py
+++ b/test/test_recoveryprobe.py
@@ -10,7 +10,7 @@
 from wheatslip.slidinglimit import SlidingLimit
 from wheatslipd.controllers.view import View
 from wheatslipd.gate.backend import BackendAnswer
-from wheatslipd.gate.gate import Gate
+from wheatslipd.gate.gate import Gate, SpeedProbing
 from wheatslipd.gate.recoveryprobe import RecoveryProbe
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.http.body import Body
@@ -42,10 +42,10 @@
             self.given_up = True
 
 
-def speed_check(gate, backend, per_second=60.0):
+def speed_check(backend, per_second=60.0):
     clock = asyncio.get_running_loop().time
     metrics = Metrics("a", "one")
-    return SpeedCheck(gate, backend, NAMES, metrics, clock, SlidingLimit(per_second))
+    return SpeedCheck(backend, NAMES, metrics, clock, SlidingLimit(per_second))
 
 
 async def doubted(path):
@@ -53,7 +53,7 @@
     clock = asyncio.get_running_loop().time
     gate = Gate(Admission(AdmissionSettings()), View(), clock)
     backend = AskedBackend()
-    asking = speed_check(gate, backend)
+    asking = speed_check(backend)
     asking.use_path(path)
     gate.in_doubt.set()
     task = asyncio.create_task(RecoveryProbe(gate, asking, clock, 0.05).run())
@@ -111,11 +111,10 @@
 def checked_gate(backend, price=0.02, per_second=60.0):
     """A gate that asks its server before a start, taught that a call takes 0.2 s."""
     clock = asyncio.get_running_loop().time
-    gate = Gate(Admission(AdmissionSettings(slots=4)), View(), clock)
-    check = speed_check(gate, backend, per_second)
+    check = speed_check(backend, per_second)
     check.use_path("/health")
-    gate.ask_speed = check.ask_briefly
-    gate.check_price = price
+    admission = Admission(AdmissionSettings(slots=4))
+    gate = Gate(admission, View(), clock, probing=SpeedProbing(check.ask_briefly, price))
     now = clock()
     ticket = gate.admission.arrive(one_call(now), now)
     gate.admission.finish(ticket, now + 0.2, worked=True)
