--- a/bench/memory.py
+++ b/bench/memory.py
@@ -12,7 +12,7 @@
 from random import Random
 from statistics import median
 
-from wheatslip.store.instances import KIND, Instance
+from wheatslip.store.instances import INSTANCE_KIND, Instance
 from wheatslip.store.objects import ObjectClient
 
 from bench.figures import Bound, Figure, add_record_option, report
@@ -56,7 +56,7 @@
     name = f"far-{number:05d}"
     port = 1024 + number
     instance = Instance(name, f"pool-{number % POOLS}", "far", "127.0.0.1", port, port, port)
-    (await client.put(KIND, name, instance, expected=0)).unwrap()
+    (await client.put(INSTANCE_KIND, name, instance, expected=0)).unwrap()
 
 
 def _resident_kilobytes(pid: int) -> int:
--- a/packages/wheatslip-cli/wheatslip_cli/zone_commands.py
+++ b/packages/wheatslip-cli/wheatslip_cli/zone_commands.py
@@ -14,8 +14,7 @@
 from wheatslip.config.drainrequests import ZoneDrainRequests
 from wheatslip.config.signing import load_private_key, sign_drain
 from wheatslip.config.zonedrains import ZoneDrain
-from wheatslip.store.instances import KIND as INSTANCES
-from wheatslip.store.instances import decode_instance
+from wheatslip.store.instances import INSTANCE_KIND, decode_instance
 from wheatslip.store.objects import ObjectClient
 
 from wheatslip_cli.operator import complain_about, run_with_client
@@ -135,7 +134,7 @@
     """Run one step that needs to know how many instances the platform lists in each zone."""
 
     async def with_counts(client: ObjectClient, settings: Settings) -> ExitCode:
-        answer = await client.list(INSTANCES)
+        answer = await client.list(INSTANCE_KIND)
         if isinstance(answer, Err):
             return complain_about(answer.err_value)
         found = (decode_instance(item.value) for item in answer.ok_value.items)
--- a/packages/wheatslip/wheatslip/config/drainrequests.py
+++ b/packages/wheatslip/wheatslip/config/drainrequests.py
@@ -3,7 +3,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from wheatslip.config.zonedrains import KIND, StoredDrain, ZoneDrain, decode_drain
+from wheatslip.config.zonedrains import ZONE_DRAIN_KIND, StoredDrain, ZoneDrain, decode_drain
 from wheatslip.store.objects import Conflict, ObjectStore, StoredObject, Unavailable
 
 
@@ -16,7 +16,7 @@
     async def drain(self, drain: ZoneDrain) -> Result[ZoneDrain, Unavailable]:
         """Ask that a zone be emptied. One that is emptied already stays as it was asked for."""
         value = StoredDrain(drain.asked_by, drain.since, drain.signature)
-        answer = await self._store.put(KIND, drain.zone, value, expected=0)
+        answer = await self._store.put(ZONE_DRAIN_KIND, drain.zone, value, expected=0)
         match answer:
             case Ok(_):
                 return Ok(drain)
@@ -28,12 +28,12 @@
 
     async def restore(self, zone: str) -> Result[bool, Unavailable]:
         """Take a zone's drain back; whether there was one."""
-        found = await self._store.get(KIND, zone)
+        found = await self._store.get(ZONE_DRAIN_KIND, zone)
         if isinstance(found, Err):
             return found
         if found.ok_value is None:
             return Ok(False)
-        match await self._store.delete(KIND, zone, found.ok_value.version):
+        match await self._store.delete(ZONE_DRAIN_KIND, zone, found.ok_value.version):
             case Ok(_):
                 return Ok(True)
             case Err(Unavailable() as trouble):
@@ -42,7 +42,7 @@
 
     async def listed(self) -> Result[list[ZoneDrain], Unavailable]:
         """All emptied zones."""
-        answer = await self._store.list(KIND)
+        answer = await self._store.list(ZONE_DRAIN_KIND)
         return answer.map(lambda listing: [_readable(item) for item in listing.items])
 
 
--- a/packages/wheatslip/wheatslip/config/head.py
+++ b/packages/wheatslip/wheatslip/config/head.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-KIND = "head"
-NAME = "bundle"
+HEAD_KIND = "head"
+HEAD_NAME = "bundle"
 BUNDLE_KIND = "bundle"
 DELTA_KIND = "delta"  # what differs from the version before, under the same name
 DIGEST_CHARS = 16
--- a/packages/wheatslip/wheatslip/config/releases.py
+++ b/packages/wheatslip/wheatslip/config/releases.py
@@ -10,10 +10,16 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from result import Err, Ok, Result
 
-from wheatslip.config import head as heads
 from wheatslip.config.bundle import Bundle, decode_bundle
 from wheatslip.config.deltas import delta_between
-from wheatslip.config.head import Head
+from wheatslip.config.head import (
+    BUNDLE_KIND,
+    DELTA_KIND,
+    HEAD_KIND,
+    HEAD_NAME,
+    Head,
+    bundle_name,
+)
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.signing import Keyring, sign, verify
 from wheatslip.store.objects import Conflict, ObjectClient, StoredObject, Unavailable
@@ -61,12 +67,12 @@
 
     async def head(self) -> Result[Head | None, Unavailable]:
         """The version in force, None before the first."""
-        answer = await self._client.get(heads.KIND, heads.NAME)
+        answer = await self._client.get(HEAD_KIND, HEAD_NAME)
         return answer.map(lambda stored: _as_head(stored) if stored else None)
 
     async def proposals(self) -> Result[list[Proposal], Unavailable]:
         """Every bundle at the platform, oldest version first."""
-        match await self._client.list(heads.BUNDLE_KIND):
+        match await self._client.list(BUNDLE_KIND):
             case Ok(listing):
                 return Ok([p for p in map(_as_proposal, listing.items) if p is not None])
             case Err(trouble):
@@ -76,8 +82,8 @@
     async def propose(self, bundle: Bundle) -> Result[Proposal, ReleaseError]:
         """Put a bundle up for sign-off. The same one again is no error."""
         signed = SignedBundle(bundle.canonical().decode())
-        name = heads.bundle_name(bundle.version, bundle.digest())
-        answer = await self._client.put(heads.BUNDLE_KIND, name, signed, expected=0)
+        name = bundle_name(bundle.version, bundle.digest())
+        answer = await self._client.put(BUNDLE_KIND, name, signed, expected=0)
         if isinstance(answer, Ok):
             return Ok(Proposal(bundle, signed, answer.ok_value))
         match answer.err_value:
@@ -120,7 +126,7 @@
         return await self._move_head(Head(version, proposal.bundle.digest()), proposal)
 
     async def _move_head(self, new: Head, proposal: Proposal) -> Result[Head, ReleaseError]:
-        answer = await self._client.get(heads.KIND, heads.NAME)
+        answer = await self._client.get(HEAD_KIND, HEAD_NAME)
         if isinstance(answer, Err):
             return Err(answer.err_value)
         stored = answer.ok_value
@@ -131,7 +137,7 @@
             return Err(Beaten(current))
         await self._store_delta(current, new, proposal)
         expected = stored.version if stored else 0
-        written = await self._client.put(heads.KIND, heads.NAME, new, expected)
+        written = await self._client.put(HEAD_KIND, HEAD_NAME, new, expected)
         if isinstance(written, Ok):
             return Ok(new)
         match written.err_value:
@@ -152,12 +158,12 @@
             return
         old = loaded.ok_value.bundle
         delta = delta_between(old, proposal.bundle, new, proposal.signed.signatures)
-        name = heads.bundle_name(new.version, new.digest)
-        await self._client.put(heads.DELTA_KIND, name, delta, expected=0)
+        name = bundle_name(new.version, new.digest)
+        await self._client.put(DELTA_KIND, name, delta, expected=0)
 
     async def _load(self, version: int, digest: str) -> Result[Proposal, ReleaseError]:
-        name = heads.bundle_name(version, digest)
-        answer = await self._client.get(heads.BUNDLE_KIND, name)
+        name = bundle_name(version, digest)
+        answer = await self._client.get(BUNDLE_KIND, name)
         if isinstance(answer, Err):
             return Err(answer.err_value)
         if answer.ok_value is None:
--- a/packages/wheatslip/wheatslip/config/zonedrains.py
+++ b/packages/wheatslip/wheatslip/config/zonedrains.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-KIND = "zone-drain"
+ZONE_DRAIN_KIND = "zone-drain"
 
 
 class ZoneDrain(msgspec.Struct, frozen=True):
--- a/packages/wheatslip/wheatslip/store/instances.py
+++ b/packages/wheatslip/wheatslip/store/instances.py
@@ -5,7 +5,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-KIND = "instance"
+INSTANCE_KIND = "instance"
 
 
 class InstanceState(StrEnum):
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -14,7 +14,7 @@
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.zonedrains import ZoneDrain, ZoneDrains, decode_drain, with_changes
 from wheatslip.distribution.feedcache import FeedCache, ListChange, Update
-from wheatslip.store import instances as lists
+from wheatslip.store.instances import decode_instance
 from wheatslip.store.objects import Listing, StoredObject
 
 from wheatslipd.controllers.bus import Bus
@@ -177,7 +177,7 @@
 def _as_change(item: StoredObject) -> ListChange | None:
     if item.deleted:
         return ListChange(item.version, item.name, None)
-    match lists.decode_instance(item.value):
+    match decode_instance(item.value):
         case Ok(instance):
             return ListChange(item.version, item.name, instance)
         case Err(why):
--- a/packages/wheatslipd/wheatslipd/feed/reader.py
+++ b/packages/wheatslipd/wheatslipd/feed/reader.py
@@ -5,11 +5,17 @@
 
 import msgspec
 from result import Err, Ok
-from wheatslip.config import head as heads
-from wheatslip.config import zonedrains
 from wheatslip.config.deltas import BundleDelta
-from wheatslip.config.head import Head
-from wheatslip.store import instances as lists
+from wheatslip.config.head import (
+    BUNDLE_KIND,
+    DELTA_KIND,
+    HEAD_KIND,
+    HEAD_NAME,
+    Head,
+    bundle_name,
+)
+from wheatslip.config.zonedrains import ZONE_DRAIN_KIND
+from wheatslip.store.instances import INSTANCE_KIND
 from wheatslip.store.objects import Backoff, ObjectStore, StoredObject
 
 from wheatslipd.feed.feedpace import FeedPace
@@ -58,7 +64,7 @@
 
     async def read_drains(self, *, stale_ok: bool = False) -> bool:
         """Read the emptied zones from the platform once; whether it answered."""
-        match await self._store.list(zonedrains.KIND, stale_ok=stale_ok):
+        match await self._store.list(ZONE_DRAIN_KIND, stale_ok=stale_ok):
             case Ok(listing):
                 self._intake.take_drain_listing(listing)
                 return True
@@ -81,7 +87,7 @@
 
     async def read_list(self, *, stale_ok: bool = False) -> bool:
         """Read the whole list from the platform once; whether it answered."""
-        match await self._store.list(lists.KIND, stale_ok=stale_ok):
+        match await self._store.list(INSTANCE_KIND, stale_ok=stale_ok):
             case Ok(listing):
                 self._intake.take_read_list(listing)
                 return True
@@ -91,12 +97,12 @@
 
     async def read_own_entry(self) -> bool:
         """Read the own entry in the list, which is short; whether the platform answered."""
-        entry = await self._store.get(lists.KIND, self._name, stale_ok=True)
+        entry = await self._store.get(INSTANCE_KIND, self._name, stale_ok=True)
         return isinstance(entry, Ok)
 
     async def read_head(self, *, stale_ok: bool = False) -> bool:
         """Read the head from the platform once; whether it answered."""
-        match await self._store.get(heads.KIND, heads.NAME, stale_ok=stale_ok):
+        match await self._store.get(HEAD_KIND, HEAD_NAME, stale_ok=stale_ok):
             case Ok(found):
                 if found is not None:
                     await self.fetch_newer(found)
@@ -121,8 +127,8 @@
             return
         backoff = Backoff(self._rng, last=self._pace.retry_last)
         while head.version > self._intake.version:
-            name = heads.bundle_name(head.version, head.digest)
-            match await self._store.get(heads.BUNDLE_KIND, name):
+            name = bundle_name(head.version, head.digest)
+            match await self._store.get(BUNDLE_KIND, name):
                 case Ok(found) if found is not None:
                     self._intake.take_stored_bundle(head, found)
                     return
@@ -134,8 +140,8 @@
 
     async def _fetch_delta(self, head: Head) -> bool:
         """Whether the head's bundle could be had from ours and a stored difference."""
-        name = heads.bundle_name(head.version, head.digest)
-        answer = await self._store.get(heads.DELTA_KIND, name)
+        name = bundle_name(head.version, head.digest)
+        answer = await self._store.get(DELTA_KIND, name)
         stored = answer.ok_value if isinstance(answer, Ok) else None
         if stored is None:
             return False
--- a/packages/wheatslipd/wheatslipd/feed/watching.py
+++ b/packages/wheatslipd/wheatslipd/feed/watching.py
@@ -3,9 +3,9 @@
 import asyncio
 from random import Random
 
-from wheatslip.config import head as heads
-from wheatslip.config import zonedrains
-from wheatslip.store import instances as lists
+from wheatslip.config.head import HEAD_KIND
+from wheatslip.config.zonedrains import ZONE_DRAIN_KIND
+from wheatslip.store.instances import INSTANCE_KIND
 from wheatslip.store.objects import ObjectStore, Unavailable, follow
 
 from wheatslipd.feed.feedpace import FeedPace
@@ -38,7 +38,7 @@
         since = self._intake.cache.listed or None
         async for listing in follow(
             self._store,
-            lists.KIND,
+            INSTANCE_KIND,
             self._rng,
             self._on_trouble,
             self._pace.list_watch,
@@ -144,7 +144,7 @@
         known = self._intake.cache.drains
         async for listing in follow(
             self._store,
-            zonedrains.KIND,
+            ZONE_DRAIN_KIND,
             self._rng,
             log_trouble,
             self._pace.watch,
@@ -157,7 +157,7 @@
     async def _follow_head(self) -> None:
         async for listing in follow(
             self._store,
-            heads.KIND,
+            HEAD_KIND,
             self._rng,
             self._on_head_trouble,
             self._pace.watch,
--- a/packages/wheatslipd/wheatslipd/registration/publisher.py
+++ b/packages/wheatslipd/wheatslipd/registration/publisher.py
@@ -10,8 +10,7 @@
 
 import msgspec
 from result import Err, Ok
-from wheatslip.store import instances as lists
-from wheatslip.store.instances import Instance, InstanceState
+from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState, decode_instance
 from wheatslip.store.objects import Backoff, Conflict, ObjectStore, StoredObject
 
 from wheatslipd.telemetry import logs
@@ -106,7 +105,7 @@
         if entry == self._stored:
             return True
         self._attempted = entry
-        match await self._store.put(lists.KIND, wanted.name, entry, self._version):
+        match await self._store.put(INSTANCE_KIND, wanted.name, entry, self._version):
             case Ok(stored):
                 self._version = stored.version
                 self._stored = entry
@@ -125,7 +124,7 @@
         raise AssertionError
 
     async def _read(self, name: str) -> bool:
-        match await self._store.get(lists.KIND, name):
+        match await self._store.get(INSTANCE_KIND, name):
             case Ok(found):
                 self._learn(found)
                 self._in_doubt = False
@@ -143,14 +142,14 @@
     async def _delete(self, name: str) -> bool:
         if self._version == 0:
             return True
-        return isinstance(await self._store.delete(lists.KIND, name, self._version), Ok)
+        return isinstance(await self._store.delete(INSTANCE_KIND, name, self._version), Ok)
 
     def _learn(self, found: StoredObject | None) -> None:
         """Take over what the platform holds as this entry; None: nothing."""
         if found is None:
             self._take_over(None, 0)
             return
-        match lists.decode_instance(found.value):
+        match decode_instance(found.value):
             case Ok(stored):
                 self._take_over(stored, found.version)
             case Err(why):
--- a/packages/wheatslipd/wheatslipd/registration/removal.py
+++ b/packages/wheatslipd/wheatslipd/registration/removal.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from result import Err, Ok
-from wheatslip.store import instances as lists
+from wheatslip.store.instances import INSTANCE_KIND, decode_instance
 from wheatslip.store.objects import Conflict, ObjectStore
 
 from wheatslipd.controllers.view import Peer, View
@@ -66,12 +66,12 @@
         return peer.upstream.is_dead(now - turn * TURN_SECONDS)
 
     async def _remove(self, name: str, incarnation: int) -> None:
-        answer = await self._store.delete(lists.KIND, name, self._version_of(name))
+        answer = await self._store.delete(INSTANCE_KIND, name, self._version_of(name))
         match answer:
             case Err(Conflict(found)) if found is not None:
                 # What other daemons tell of the list may name a later version.
-                listed = lists.decode_instance(found.value)
+                listed = decode_instance(found.value)
                 if isinstance(listed, Ok) and listed.ok_value.incarnation != incarnation:
                     return  # it has started anew since
-                answer = await self._store.delete(lists.KIND, name, found.version)
+                answer = await self._store.delete(INSTANCE_KIND, name, found.version)
         logs.info("dead-entry-removed", name=name, done=isinstance(answer, Ok))
--- a/soak/installation.py
+++ b/soak/installation.py
@@ -9,8 +9,7 @@
 
 import aiohttp
 import msgspec
-from wheatslip.store.instances import KIND as INSTANCES
-from wheatslip.store.instances import Instance, InstanceState
+from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 
 from demo.operators import CommandFailed, Desk, wheatslip
 from soak.course import Fault, Step
@@ -205,7 +204,9 @@
 
     async def _list(self, member: Member, state: InstanceState) -> None:
         """Write an instance into the list, from whatever version it stands at."""
-        url = f"http://{self.cluster.platform_address}/objects/{INSTANCES}/{member.plan.name}"
+        url = (
+            f"http://{self.cluster.platform_address}/objects/{INSTANCE_KIND}/{member.plan.name}"
+        )
         async with self.cluster.session.get(url) as answer:
             assert answer.status == 200, await answer.text()
             member.listed_version = msgspec.json.decode(await answer.read())["version"]
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -13,8 +13,7 @@
 
 import aiohttp
 import msgspec
-from wheatslip.store import instances as lists
-from wheatslip.store.instances import Instance, InstanceState
+from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 
 from standins.backend import Behaviour, Record
 from standins.platform import Faults
@@ -156,7 +155,7 @@
         """Write an instance into the platform's list, as the platform would."""
         instance = msgspec.structs.replace(member.instance, state=state)
         body = {"write_id": "list", "value": instance}
-        url = f"http://{self.platform_address}/objects/{lists.KIND}/{instance.name}"
+        url = f"http://{self.platform_address}/objects/{INSTANCE_KIND}/{instance.name}"
         params = {"expected": str(member.listed_version)}
         data = msgspec.json.encode(body)
         async with self.session.put(url, params=params, data=data) as response:
@@ -165,7 +164,7 @@
 
     async def unlist(self, member: Member) -> None:
         """Take an instance off the list."""
-        url = f"http://{self.platform_address}/objects/{lists.KIND}/{member.instance.name}"
+        url = f"http://{self.platform_address}/objects/{INSTANCE_KIND}/{member.instance.name}"
         async with self.session.delete(url) as response:
             assert response.status == 204
 
--- a/test/helper.py
+++ b/test/helper.py
@@ -17,8 +17,7 @@
 from wheatslip.config.bundle import Bundle, credential_digest, parse_bundle
 from wheatslip.config.releases import Releases
 from wheatslip.config.signing import load_keyring, load_private_key, write_key_pair
-from wheatslip.store import instances as lists
-from wheatslip.store.instances import Instance, InstanceState
+from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 from wheatslip.store.objects import ObjectClient
 from wheatslipd.daemon import Daemon
 from wheatslipd.settings import parse_settings
@@ -186,7 +185,7 @@
         """Write an instance into the platform's list."""
         instance = msgspec.structs.replace(node.instance, state=state)
         name = node.instance.name
-        stored = await self.client.put(lists.KIND, name, instance, node.listed_version)
+        stored = await self.client.put(INSTANCE_KIND, name, instance, node.listed_version)
         node.listed_version = stored.unwrap().version
 
     async def release(self, new: Bundle) -> None:
--- a/test/test_fleet_adapter.py
+++ b/test/test_fleet_adapter.py
@@ -7,11 +7,10 @@
 
 import msgspec
 from result import Err, Ok
-from wheatslip.config import head as heads
-from wheatslip.config import zonedrains
 from wheatslip.config.bundle import ColdStart, Split, decode_bundle
-from wheatslip.store import instances as lists
-from wheatslip.store.instances import Instance
+from wheatslip.config.head import BUNDLE_KIND, HEAD_KIND, HEAD_NAME, bundle_name
+from wheatslip.config.zonedrains import ZONE_DRAIN_KIND
+from wheatslip.store.instances import INSTANCE_KIND, Instance
 from wheatslip.store.objects import Conflict, TooOld, Unavailable, follow
 from wheatslip.store.registration import Heartbeat, ServerState
 
@@ -109,13 +108,13 @@
 def test_emptied_zones_are_read_as_drains():
     async def scenario():
         async with store() as (stand_in, client):
-            assert (await client.list(zonedrains.KIND)).unwrap().items == ()
+            assert (await client.list(ZONE_DRAIN_KIND)).unwrap().items == ()
             stand_in.write("evacuations", "wien-a", {})
-            listing = (await client.list(zonedrains.KIND, stale_ok=True)).unwrap()
+            listing = (await client.list(ZONE_DRAIN_KIND, stale_ok=True)).unwrap()
             assert [item.name for item in listing.items] == ["wien-a"]
             since = listing.version
             stand_in.remove("evacuations", "wien-a")
-            changes = (await client.changes(zonedrains.KIND, since, 1.0)).unwrap()
+            changes = (await client.changes(ZONE_DRAIN_KIND, since, 1.0)).unwrap()
             assert [(item.name, item.deleted) for item in changes.items] == [("wien-a", True)]
             assert changes.version > since
 
@@ -144,12 +143,12 @@
 def test_the_configuration_is_read_as_a_head_and_the_bundle_that_it_names():
     async def scenario():
         async with store() as (stand_in, client):
-            assert await client.get(heads.KIND, heads.NAME) == Ok(None)
+            assert await client.get(HEAD_KIND, HEAD_NAME) == Ok(None)
             stand_in.write("config", "main", CONFIGURATION)
-            stored = (await client.get(heads.KIND, heads.NAME)).unwrap()
+            stored = (await client.get(HEAD_KIND, HEAD_NAME)).unwrap()
             head = json.loads(bytes(stored.value))
-            name = heads.bundle_name(head["version"], head["digest"])
-            body = json.loads(bytes((await client.get(heads.BUNDLE_KIND, name)).unwrap().value))
+            name = bundle_name(head["version"], head["digest"])
+            body = json.loads(bytes((await client.get(BUNDLE_KIND, name)).unwrap().value))
             bundle = decode_bundle(body["body"].encode()).unwrap()
             assert bundle.version == 7 and bundle.digest() == head["digest"]
 
@@ -160,7 +159,7 @@
     async def scenario():
         async with store() as (stand_in, client):
             stand_in.write("config", "main", {"version": "new"})
-            assert (await client.list(heads.KIND)).unwrap().items == ()
+            assert (await client.list(HEAD_KIND)).unwrap().items == ()
 
     run(scenario)
 
@@ -168,16 +167,16 @@
 def test_entries_are_created_replaced_and_removed_by_their_revision():
     async def scenario():
         async with store() as (_, client):
-            first = (await client.put(lists.KIND, "a", INSTANCE, 0)).unwrap()
-            again = await client.put(lists.KIND, "a", INSTANCE, 0)
+            first = (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
+            again = await client.put(INSTANCE_KIND, "a", INSTANCE, 0)
             assert isinstance(again.unwrap_err(), Conflict)
             assert again.unwrap_err().current.version == first.version
-            second = (await client.put(lists.KIND, "a", INSTANCE, first.version)).unwrap()
-            stale = await client.delete(lists.KIND, "a", first.version)
+            second = (await client.put(INSTANCE_KIND, "a", INSTANCE, first.version)).unwrap()
+            stale = await client.delete(INSTANCE_KIND, "a", first.version)
             assert isinstance(stale.unwrap_err(), Conflict)
-            assert await client.delete(lists.KIND, "a", second.version) == Ok(None)
-            assert await client.delete(lists.KIND, "a", second.version) == Ok(None)
-            lost = await client.put(lists.KIND, "a", INSTANCE, second.version)
+            assert await client.delete(INSTANCE_KIND, "a", second.version) == Ok(None)
+            assert await client.delete(INSTANCE_KIND, "a", second.version) == Ok(None)
+            lost = await client.put(INSTANCE_KIND, "a", INSTANCE, second.version)
             assert lost == Err(Conflict(None))
 
     run(scenario)
@@ -187,8 +186,8 @@
     async def scenario():
         async with store(page=2) as (_, client):
             for name in "abcde":
-                (await client.put(lists.KIND, name, INSTANCE, 0)).unwrap()
-            listing = (await client.list(lists.KIND)).unwrap()
+                (await client.put(INSTANCE_KIND, name, INSTANCE, 0)).unwrap()
+            listing = (await client.list(INSTANCE_KIND)).unwrap()
             assert [item.name for item in listing.items] == list("abcde")
             assert listing.version == 5
 
@@ -201,14 +200,14 @@
     async def scenario():
         async with store(page=2) as (stand_in, client):
             for name in "bcde":
-                (await client.put(lists.KIND, name, INSTANCE, 0)).unwrap()
+                (await client.put(INSTANCE_KIND, name, INSTANCE, 0)).unwrap()
 
             def write_behind_the_reader():
                 stand_in.after_page = None
-                stand_in.write(KINDS[lists.KIND], "a", msgspec.to_builtins(INSTANCE))
+                stand_in.write(KINDS[INSTANCE_KIND], "a", msgspec.to_builtins(INSTANCE))
 
             stand_in.after_page = write_behind_the_reader
-            states = follow(client, lists.KIND, Random(1))
+            states = follow(client, INSTANCE_KIND, Random(1))
             names = [item.name for item in (await anext(states)).items]
             assert names == list("bcde")
             assert [item.name for item in (await anext(states)).items] == ["a"]
@@ -219,17 +218,17 @@
 def test_a_watch_tells_of_changes_and_of_what_is_gone():
     async def scenario():
         async with store() as (stand_in, client):
-            at = (await client.list(lists.KIND)).unwrap().version
-            watch = asyncio.create_task(client.changes(lists.KIND, at, 5.0))
+            at = (await client.list(INSTANCE_KIND)).unwrap().version
+            watch = asyncio.create_task(client.changes(INSTANCE_KIND, at, 5.0))
             await asyncio.sleep(0.01)
-            stored = (await client.put(lists.KIND, "a", INSTANCE, 0)).unwrap()
+            stored = (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
             (item,) = (await watch).unwrap().items
             assert (item.name, item.deleted) == ("a", False)
-            await client.delete(lists.KIND, "a", stored.version)
-            (gone,) = (await client.changes(lists.KIND, item.version, 5.0)).unwrap().items
+            await client.delete(INSTANCE_KIND, "a", stored.version)
+            (gone,) = (await client.changes(INSTANCE_KIND, item.version, 5.0)).unwrap().items
             assert (gone.name, gone.deleted) == ("a", True)
             stand_in.forget()
-            late = await client.changes(lists.KIND, at, 5.0)
+            late = await client.changes(INSTANCE_KIND, at, 5.0)
             assert isinstance(late.unwrap_err(), TooOld)
 
     run(scenario)
@@ -240,10 +239,10 @@
         async with store() as (stand_in, client):
             for fault in (Fault.BUSY, Fault.RESET, Fault.SILENT):
                 stand_in.fault = fault
-                answer = await client.list(lists.KIND)
+                answer = await client.list(INSTANCE_KIND)
                 assert isinstance(answer.unwrap_err(), Unavailable)
                 stand_in.fault = Fault.NONE
-                assert isinstance(await client.list(lists.KIND), Ok)
+                assert isinstance(await client.list(INSTANCE_KIND), Ok)
 
     run(scenario)
 
@@ -251,9 +250,9 @@
 def test_a_lost_answer_is_not_taken_for_a_refusal():
     async def scenario():
         async with store(lose_answers=1) as (stand_in, client):
-            answer = await client.put(lists.KIND, "a", INSTANCE, 0)
+            answer = await client.put(INSTANCE_KIND, "a", INSTANCE, 0)
             assert isinstance(answer.unwrap_err(), Unavailable)
-            assert (lists.KIND, "a") not in stand_in.objects
+            assert (INSTANCE_KIND, "a") not in stand_in.objects
             assert len(stand_in.objects) == 1
 
     run(scenario)
@@ -262,14 +261,14 @@
 def test_after_a_forgotten_history_the_next_listing_is_known_to_be_whole():
     async def scenario():
         async with store() as (stand_in, client):
-            first = (await client.put(lists.KIND, "a", INSTANCE, 0)).unwrap()
-            (await client.put(lists.KIND, "b", INSTANCE, 0)).unwrap()
-            states = follow(client, lists.KIND, Random(1))
+            first = (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
+            (await client.put(INSTANCE_KIND, "b", INSTANCE, 0)).unwrap()
+            states = follow(client, INSTANCE_KIND, Random(1))
             assert (await anext(states)).whole
-            (await client.put(lists.KIND, "c", INSTANCE, 0)).unwrap()
+            (await client.put(INSTANCE_KIND, "c", INSTANCE, 0)).unwrap()
             changes = await anext(states)
             assert not changes.whole and [item.name for item in changes.items] == ["c"]
-            await client.delete(lists.KIND, "a", first.version)
+            await client.delete(INSTANCE_KIND, "a", first.version)
             stand_in.forget()
             again = await anext(states)
             assert again.whole and [item.name for item in again.items] == ["b", "c"]
@@ -280,7 +279,7 @@
 def test_a_watch_that_failed_comes_back_short_so_that_silence_does_not_hold_it():
     async def scenario():
         async with store() as (stand_in, client):
-            states = follow(client, lists.KIND, Random(1), wait=30.0, backoff_last=0.1)
+            states = follow(client, INSTANCE_KIND, Random(1), wait=30.0, backoff_last=0.1)
             await anext(states)
             stand_in.fault = Fault.BUSY
             waiting = asyncio.create_task(anext(states))
@@ -293,7 +292,7 @@
             made = len(stand_in.calls)
             await eventually(lambda: calls_made(made + 1))
             stand_in.fault = Fault.NONE
-            (await client.put(lists.KIND, "a", INSTANCE, 0)).unwrap()
+            (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
             async with asyncio.timeout(5.0):
                 assert [item.name for item in (await waiting).items] == ["a"]
 
--- a/test/test_publisher.py
+++ b/test/test_publisher.py
@@ -6,8 +6,7 @@
 from random import Random
 
 import msgspec
-from wheatslip.store import instances as lists
-from wheatslip.store.instances import Instance, InstanceState
+from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 from wheatslipd.registration.publisher import Publisher
 
 from fleet_adapter.store import KINDS, FleetStore
@@ -17,7 +16,7 @@
 
 INSTANCE = Instance("a", "papers", "one", "10.0.0.1", 1, 2, 3)
 LEAVING = msgspec.structs.replace(INSTANCE, state=InstanceState.LEAVING)
-KEY = (KINDS[lists.KIND], "a")
+KEY = (KINDS[INSTANCE_KIND], "a")
 
 
 @asynccontextmanager
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from wheatslip.chooser import DEAD_AFTER, DEAD_AFTER_FAILURES
-from wheatslip.store import instances as lists
+from wheatslip.store.instances import INSTANCE_KIND
 from wheatslipd.registration.removal import TURN_SECONDS
 
 from fleet_adapter.store import KINDS
@@ -110,7 +110,7 @@
             assert len(one.backends["a"].ran) == before
 
             async def listed():
-                entry = one.store.objects[KINDS[lists.KIND], "a"]
+                entry = one.store.objects[KINDS[INSTANCE_KIND], "a"]
                 return json.loads(bytes(entry.spec))["state"] == "leaving"
 
             await eventually(listed)
@@ -125,7 +125,7 @@
             await one.beat("a", 1)
             await one.beat("a", 2, "draining")
             await one.stop("a")
-            assert (KINDS[lists.KIND], "a") not in one.store.objects
+            assert (KINDS[INSTANCE_KIND], "a") not in one.store.objects
             assert (await one.ask("b"))[1] == b"i-b"
 
     run(scenario)
@@ -144,11 +144,11 @@
             remover._turn = lambda zone: 0
             remover._clock = lambda: DEAD_AFTER - 1
             await remover.remove_dead()
-            assert (KINDS[lists.KIND], "b") in one.store.objects
+            assert (KINDS[INSTANCE_KIND], "b") in one.store.objects
             remover._clock = lambda: DEAD_AFTER + 1
             remover._version_of = lambda name: 1  # as it was before it started anew
             await remover._remove("b", dead.instance.incarnation + 1)
-            assert (KINDS[lists.KIND], "b") in one.store.objects
+            assert (KINDS[INSTANCE_KIND], "b") in one.store.objects
             remover._version_of = daemon.feed.cache.version_of
             calls = len(one.store.calls)
             await remover.remove_dead()
@@ -156,7 +156,7 @@
             assert removals and all(call.startswith("DELETE") for call in removals)
 
             async def is_back():
-                return (KINDS[lists.KIND], "b") in one.store.objects
+                return (KINDS[INSTANCE_KIND], "b") in one.store.objects
 
             await eventually(is_back)  # as it lives
 
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -26,9 +26,8 @@
 
 import pytest
 from result import Ok
-from wheatslip.config import head as heads
 from wheatslip.config.bundle import Bundle, Route, Split
-from wheatslip.config.head import Head
+from wheatslip.config.head import HEAD_KIND, HEAD_NAME, Head
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.distribution.feedcache import Cursor, FeedCache, ListChange
 from wheatslip.distribution.headage import AgeChange, HeadAge
@@ -162,7 +161,7 @@
         return Ok(None)
 
 
-@pytest.mark.parametrize(("hinted", "reads"), [(2, []), (3, [heads.NAME])])
+@pytest.mark.parametrize(("hinted", "reads"), [(2, []), (3, [HEAD_NAME])])
 def test_a_hint_leads_to_the_daemon_that_gave_it_and_then_to_the_platform(hinted, reads):
     """44 daemons read 235 kB from the platform in one second when a request told them of it."""
 
@@ -211,7 +210,7 @@
         link = NarrowLink(HOST, store.server.port, LINK)
         await link.open()
         client = FleetStore(f"{HOST}:{link.port}")
-        asked = asyncio.create_task(client.get(heads.KIND, heads.NAME))
+        asked = asyncio.create_task(client.get(HEAD_KIND, HEAD_NAME))
 
         async def some_came():
             return link.carried > 0
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -6,13 +6,13 @@
 
 import pytest
 from wheatslip.chooser import Chooser, ChooserSettings, Upstream
-from wheatslip.config import head as heads
-from wheatslip.config import zonedrains
 from wheatslip.config.bundle import Route, Split
+from wheatslip.config.head import HEAD_KIND
 from wheatslip.config.routes import pick_service
+from wheatslip.config.zonedrains import ZONE_DRAIN_KIND
 from wheatslip.distribution.relaytree import relay_order
 from wheatslip.hop import LoadReport
-from wheatslip.store import instances as lists
+from wheatslip.store.instances import INSTANCE_KIND
 
 from fleet_adapter.store import KINDS
 from fleet_standins.store import Fault
@@ -69,7 +69,7 @@
     async def scenario():
         async with fleet("a", "b", "c") as one:
             one.store.fault = fault
-            one.store.lapse(KINDS[lists.KIND])
+            one.store.lapse(KINDS[INSTANCE_KIND])
             if forgets:
                 one.store.forget()
             calls = len(one.store.calls)
@@ -81,7 +81,7 @@
             one.store.fault = Fault.NONE
 
             async def all_back():
-                return all((KINDS[lists.KIND], name) in one.store.objects for name in "abc")
+                return all((KINDS[INSTANCE_KIND], name) in one.store.objects for name in "abc")
 
             async with asyncio.timeout(BACK_SECONDS):
                 await eventually(all_back)
@@ -96,7 +96,7 @@
 
     async def made():
         made = {c.split("?")[0] for c in one.store.calls if "wait_ms=20000" in c}
-        expected = {KINDS[lists.KIND]: 1, KINDS[heads.KIND]: 2, KINDS[zonedrains.KIND]: 2}
+        expected = {KINDS[INSTANCE_KIND]: 1, KINDS[HEAD_KIND]: 2, KINDS[ZONE_DRAIN_KIND]: 2}
         return len(made) == 3 and dict(+one.store.waiting) == expected
 
     await eventually(made)
@@ -140,12 +140,12 @@
             calls = one.store.calls
 
             await all_watch(one)
-            own = one.store.objects[KINDS[lists.KIND], "a"]
+            own = one.store.objects[KINDS[INSTANCE_KIND], "a"]
             # One that takes nobody's place in the tree.
             new = next(n for n in "efghijkl" if relay_order([*"abcd", n])[-1] == n)
             other = json.loads(bytes(own.spec)) | {"name": new, "peer_port": 9}
             calls.clear()
-            one.store.write(KINDS[lists.KIND], new, other)
+            one.store.write(KINDS[INSTANCE_KIND], new, other)
 
             async def known():
                 return all(new in d.feed.cache.instances for d in one.daemons.values())
@@ -166,11 +166,11 @@
         async with fleet("a", "b") as one:
 
             async def list_is_watched():
-                return one.store.waiting[KINDS[lists.KIND]] > 0
+                return one.store.waiting[KINDS[INSTANCE_KIND]] > 0
 
             # Between two watches no one would hear of it: the next call is turned away.
             await eventually(list_is_watched)
-            one.store.lapse(KINDS[lists.KIND])
+            one.store.lapse(KINDS[INSTANCE_KIND])
             one.store.fault = Fault.BUSY  # so that the entries stay away for a while
 
             async def seen_gone():
@@ -188,9 +188,9 @@
 def test_an_entry_that_stays_missing_is_taken_as_gone():
     async def scenario():
         async with fleet("a") as one:
-            own = one.store.objects[KINDS[lists.KIND], "a"]
+            own = one.store.objects[KINDS[INSTANCE_KIND], "a"]
             other = json.loads(bytes(own.spec)) | {"name": "b", "peer_port": 9}
-            one.store.write(KINDS[lists.KIND], "b", other)
+            one.store.write(KINDS[INSTANCE_KIND], "b", other)
 
             def members():
                 peers = one.daemons["a"].view.membership.peers("papers")
@@ -203,7 +203,7 @@
                 return members() == ["a"]
 
             await eventually(both)
-            one.store.lapse(KINDS[lists.KIND])
+            one.store.lapse(KINDS[INSTANCE_KIND])
             await eventually(only_the_living)
 
     run(scenario)
@@ -283,7 +283,7 @@
             one.store.fault = Fault.NONE
 
             async def listed():
-                entry = one.store.objects[KINDS[lists.KIND], "a"]
+                entry = one.store.objects[KINDS[INSTANCE_KIND], "a"]
                 return json.loads(bytes(entry.spec))["state"] == "leaving"
 
             async with asyncio.timeout(BACK_SECONDS):
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -7,7 +7,13 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wheatslip.config.zonedrains import KIND, ZoneDrain, ZoneDrains, decode_drain, with_changes
+from wheatslip.config.zonedrains import (
+    ZONE_DRAIN_KIND,
+    ZoneDrain,
+    ZoneDrains,
+    decode_drain,
+    with_changes,
+)
 from wheatslip.distribution.feedcache import FeedCache
 from wheatslipd.feed import watching
 
@@ -18,7 +24,7 @@
 from test.routed_fleet import configuration, fleet
 from test.test_cold_servers import SETTINGS, press
 
-STORED = KINDS[KIND]
+STORED = KINDS[ZONE_DRAIN_KIND]
 BOUND = 5.0  # seconds from the store's acknowledgement; the users' word
 ZONES = {"a": "one", "b": "one", "c": "two", "d": "two"}
 TROUBLES = (Fault.BUSY, Fault.RESET, Fault.SILENT)
