--- a/test/test_fleet_adapter.py
+++ b/test/test_fleet_adapter.py
@@ -16,7 +16,8 @@
 
 from fleet_adapter.configuration import read_configuration
 from fleet_adapter.heartbeats import decode_heartbeat
-from fleet_adapter.store import KINDS, FleetStore
+from fleet_adapter.store import FleetStore
+from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault, StoreStandIn
 from standins.cluster import eventually
 from test.helper import run
--- a/test/test_publisher.py
+++ b/test/test_publisher.py
@@ -9,7 +9,8 @@
 from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 from wheatslipd.registration.publisher import Publisher
 
-from fleet_adapter.store import KINDS, FleetStore
+from fleet_adapter.store import FleetStore
+from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault, StoreStandIn
 from standins.cluster import HOST, eventually
 from test.helper import run
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -8,7 +8,7 @@
 from wheatslip.store.instances import INSTANCE_KIND
 from wheatslipd.registration.removal import TURN_SECONDS
 
-from fleet_adapter.store import KINDS
+from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault
 from standins.cluster import HOST, eventually
 from standins.plainbackend import Trouble
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -14,7 +14,7 @@
 from wheatslip.hop import LoadReport
 from wheatslip.store.instances import INSTANCE_KIND
 
-from fleet_adapter.store import KINDS
+from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault
 from standins.cluster import eventually
 from standins.plainbackend import Trouble
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -17,7 +17,7 @@
 from wheatslip.distribution.feedcache import FeedCache
 from wheatslipd.feed import watching
 
-from fleet_adapter.store import KINDS
+from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault
 from standins.cluster import eventually
 from test.helper import run
