--- a/test/test_publisher.py
+++ b/test/test_publisher.py
@@ -6,18 +6,18 @@
 from random import Random
 
 import msgspec
-from wheatslip.store import instances as lists
-from wheatslip.store.instances import Instance, InstanceState
+from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 from wheatslipd.registration.publisher import Publisher
 
-from fleet_adapter.store import KINDS, FleetStore
+from fleet_adapter.store import FleetStore
+from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault, StoreStandIn
 from standins.cluster import HOST, eventually
 from test.helper import run
 
 INSTANCE = Instance("a", "papers", "one", "10.0.0.1", 1, 2, 3)
 LEAVING = msgspec.structs.replace(INSTANCE, state=InstanceState.LEAVING)
-KEY = (KINDS[lists.KIND], "a")
+KEY = (KINDS[INSTANCE_KIND], "a")
 
 
 @asynccontextmanager
