--- a/packages/wheatslipd/wheatslipd/feed/following.py
+++ b/packages/wheatslipd/wheatslipd/feed/following.py
@@ -36,9 +36,8 @@
     async def run(self) -> None:
         """Follow one parent after the other until this daemon's role changes.
 
-        When none of them has news, those that read the platform for this zone may all be
-        gone, and the list with whom to follow instead comes from the platform alone. A watcher
-        reads that anyway.
+        When none of them has news, all of them may be gone, or the list that names them is
+        old, and the list with whom to follow instead comes from the platform alone.
         """
         in_vain = 0
         turn = 0
@@ -49,8 +48,7 @@
                 turn = 0
             parents = self._place.parents()
             if in_vain >= len(parents):
-                if not self._place.watches:
-                    await self._reader.read_all()
+                await self._read_platform(len(parents))
                 await self._rest(IN_VAIN_SECONDS)
                 in_vain = 0
                 continue
@@ -59,6 +57,25 @@
             turn += 1
             await self._rest(TURN_SECONDS)
 
+    async def _read_platform(self, tried: int) -> None:
+        """Read from the platform what the parents would have brought.
+
+        A watcher reads the configuration anyway, and one of a zone the list. The other one has
+        the list from its parents alone: with an old list it would try old addresses for ever.
+        """
+        if self._place.watches_list:
+            return
+        logs.warning(
+            "parents-without-news",
+            tried=tried,
+            listed=self._intake.cache.listed,
+            repeat_key="parents-without-news",
+        )
+        if self._place.watches:
+            await self._reader.read_list(stale_ok=True)
+        else:
+            await self._reader.read_all()
+
     async def _rest(self, seconds: float) -> None:
         """Sleep for about so long, or until there are other parents."""
         with suppress(TimeoutError):
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -268,6 +268,41 @@
     run(main)
 
 
+VIEWS = "[kind papers/view]\nrepeatable = yes\n"
+
+
+def test_a_reader_without_the_list_finds_daemons_that_moved_while_it_started(tmp_path):
+    """What happened: the second reader of a zone started, and read the list while all that it
+    was to follow, and its own entry, stood at the ports of lives before. No one brought it a
+    later list, so it answered every request with `unreachable` for as long as it ran.
+    """
+
+    async def main():
+        async with Installation(tmp_path) as installation:
+            await zone_of(installation, 2)
+            await installation.release(bundle(BUNDLE + VIEWS, 2))
+            await installation.ready(2)
+            first, second = relay_order(installation.nodes)
+            for name in (first, second):
+                installation.nodes[name].daemon.stop()
+                await installation.nodes[name].task
+            await installation.start_again(second)
+            await installation.start_again(first)
+            moved = {name: node.instance for name, node in installation.nodes.items()}
+            cache = installation.nodes[second].daemon.feed.cache
+
+            async def knows_the_new_ports():
+                return cache.instances == moved
+
+            await eventually(knows_the_new_ports)
+            await installation.ready(2)
+            entry = installation.nodes[second].entry
+            asked = await installation.caller().ask(entry, "papers", "view", once=False)
+            assert asked.reason == ""
+
+    run(main)
+
+
 @pytest.fixture
 def authorities(tmp_path):
     """Files of two daemons, each of an authority of its own."""
