--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -8,12 +8,13 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from wheatslip.admission import Admission, AdmissionSettings
+from wheatslip.admission import Admission, AdmissionSettings, ClosedBy
 from wheatslip.budget import RetryBudgets
 from wheatslip.chooser import Chooser
 from wheatslip.config.bundle import Bundle
 from wheatslip.ledger import KeyLedger
 from wheatslip.owners import OwnerHistory
+from wheatslip.slidinglimit import SlidingLimit
 from wheatslip.store.instances import Instance
 from wheatslip.store.objects import ObjectClient, ObjectStore
 from wheatslip.store.registration import Registered
@@ -33,14 +34,15 @@
 from wheatslipd.feed.feed import Feed
 from wheatslipd.feed.proof import proof_of
 from wheatslipd.gate.backend import Backend
-from wheatslipd.gate.gate import Gate
+from wheatslipd.gate.gate import Gate, SpeedProbing
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.gate.measure import Measurer
 from wheatslipd.gate.peerport import PeerPort
+from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.http.server import Server
 from wheatslipd.registration.ownserver import OwnServer
 from wheatslipd.registration.registrar import HeartbeatDecoder, decode_heartbeat
-from wheatslipd.settings import Interface, Settings
+from wheatslipd.settings import NO_CHECKS, Interface, Settings
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.pagesource import PageSource, Status
@@ -100,15 +102,20 @@
             settings.feed,
         )
         self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
-        self.gate = Gate(Admission(AdmissionSettings()), self.view, monotonic)
-        # Whether the zone is emptied is not known yet, so nothing may start.
-        self.gate.admission.emptied = True
         self._backend = Backend(
             settings.backend_address,
             settings.backend_port,
             BACKEND_CONNECTIONS,
             settings.connect_timeout,
         )
+        self._speed_check = SpeedCheck(
+            self._backend,
+            settings.headers,
+            self.metrics,
+            monotonic,
+            SlidingLimit(settings.checks_per_second),
+        )
+        self.gate = self._make_gate()
         self._chooser = Chooser(settings.zone, rng, settings.chooser)
         owners = OwnerHistory()
         self._keys = KeyGuard(
@@ -206,14 +213,14 @@
         if not self.view.draining:
             logs.info("draining", cause=cause, in_flight=self.gate.admission.in_flight)
         self.view.draining = True
-        self.gate.drain()
+        self.gate.server_leaves()
 
     def take_back_drain(self) -> None:
         """Take new work again: it was not this start that was to drain."""
         if self.view.draining and not self.view.stopping:
             logs.info("drain-taken-back")
             self.view.draining = False
-            self.gate.reopen()
+            self.gate.server_stays()
 
     def take_bounds(self, bundle: Bundle) -> None:
         """Apply the pool's limits and the workspaces' shares."""
@@ -237,7 +244,7 @@
             self.drain(f"backend server {registered.server} leaves")
         else:
             self.view.draining = False
-            self.gate.reopen()
+            self.gate.server_stays()
         self._publish()
 
     def check_own_entry(
@@ -313,6 +320,26 @@
         )
         Lifecycle(self).register(self.bus)
 
+    def _make_gate(self) -> Gate:
+        """The gate, closed until the zone drains are known and a server registers."""
+        settings = self.settings
+        admission = Admission(AdmissionSettings())
+        if settings.registration_port is None:
+            return Gate(
+                admission, self.view, self._monotonic, closed_by=(ClosedBy.ZONE_UNKNOWN,)
+            )
+        probing = None
+        if settings.check_price < NO_CHECKS and settings.headers.load:
+            probing = SpeedProbing(self._speed_check.ask_briefly, settings.check_price)
+        return Gate(
+            admission,
+            self.view,
+            self._monotonic,
+            closed_by=(ClosedBy.ZONE_UNKNOWN, ClosedBy.SERVER_UNKNOWN),
+            is_probed=True,
+            probing=probing,
+        )
+
     def _own_server(
         self, store: ObjectStore, rng: Random, decode: HeartbeatDecoder
     ) -> OwnServer | None:
@@ -323,6 +350,7 @@
             self.settings,
             self.view,
             self.gate,
+            self._speed_check,
             self._backend,
             store,
             self.metrics,
