--- a/bench/path.py
+++ b/bench/path.py
@@ -17,8 +17,8 @@
 
 from hdrh.histogram import HdrHistogram
 from wheatslip.config.bundle import credential_digest
-from wheatslipd.http.client import Pool
 from wheatslipd.http.messages import RequestHead
+from wheatslipd.http.pool import ConnectionPool
 
 from bench.figures import Bound, Figure, add_record_option, report
 from demo.operators import Desk
@@ -62,7 +62,7 @@
 
 async def load(route: Route, rate: float, seconds: float, rng: Random) -> None:
     """Poisson load on one route; times count from when a call was due."""
-    pool = Pool(HOST, route.port, CONNECTIONS)
+    pool = ConnectionPool(HOST, route.port, CONNECTIONS)
     turn = HdrHistogram(1, LONGEST, 3)
     tasks: set[asyncio.Task[None]] = set()
     start = time.perf_counter()
@@ -78,7 +78,9 @@
     route.turns.append(turn)
 
 
-async def _call(route: Route, pool: Pool, histogram: HdrHistogram, due: float) -> None:
+async def _call(
+    route: Route, pool: ConnectionPool, histogram: HdrHistogram, due: float
+) -> None:
     connection = await pool.take(1.0)
     if connection is None:
         route.failed += 1
--- a/packages/wheatslip/wheatslip/patience.py
+++ b/packages/wheatslip/wheatslip/callerwait.py
@@ -1,16 +1,21 @@
-"""How long a caller has waited already, told from the deadline that it sends.
+"""How long a caller has waited already, computed from the deadline that it sends.
 
-Callers that come back after a refusal send what is left of their deadline. Those of one
-route commonly start with the same one, so what is missing of the longest seen lately is the
-time that has gone by since their first attempt.
+A caller that comes back after a refusal sends what is left of its deadline. The callers of one
+route commonly start with the same deadline, so the difference to the longest one seen lately is
+the time since the caller's first attempt. Seconds.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-WINDOW = 10.0  # seconds in which the longest deadline of a route is looked for, at least
-MAX_ROUTES = 10_000
-FIRST_SHARE = 0.97  # part of the longest from which on an attempt counts as a first one
+# Seconds, at least, in which the longest deadline of a route is looked for. Shorter, a pause
+# between first attempts hides the full deadline; longer, a shorter one counts as waiting for
+# longer after callers have changed theirs. Chosen, not measured.
+LONGEST_WINDOW = 10.0
+MAX_ROUTES = 10_000  # bounds the memory; the route added first is dropped. Chosen.
+# Part of the longest deadline from which on an attempt counts as a first one: callers send what
+# is left when they write, a little less than they have. Chosen, not measured.
+FIRST_SHARE = 0.97
 
 
 @dataclass(slots=True)
@@ -23,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Patience:
+class CallerWait:
     """The longest deadlines by route, in seconds."""
 
     _routes: OrderedDict[str, _Longest] = field(default_factory=OrderedDict)
@@ -35,7 +40,7 @@
             longest = self._routes[route] = _Longest(now)
             if len(self._routes) > MAX_ROUTES:
                 self._routes.popitem(last=False)
-        if now - longest.since >= WINDOW:
+        if now - longest.since >= LONGEST_WINDOW:
             longest.before = longest.present
             longest.present = 0.0
             longest.since = now
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -16,7 +16,7 @@
 
 from wheatslipd.controllers.events import leaving, returned
 from wheatslipd.controllers.view import Membership, Peer, View
-from wheatslipd.http.client import Pool
+from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
@@ -127,7 +127,7 @@
         # Who stands in the first list was here before us and is warm, as far as we know.
         joined = self._monotonic() if self._has_list else 0.0
         upstream = Upstream(instance.name, instance.zone, joined=joined)
-        connections = Pool(
+        connections = ConnectionPool(
             instance.address, instance.peer_port, PEER_CONNECTIONS, self._tls.client
         )
         return Peer(instance, upstream, connections)
--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -13,7 +13,7 @@
 from wheatslip.config.zonedrains import ZoneDrains
 from wheatslip.store.instances import Instance
 
-from wheatslipd.http.client import Pool as ConnectionPool
+from wheatslipd.http.pool import ConnectionPool
 
 
 @dataclass(slots=True, eq=False)
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -342,7 +342,7 @@
 
     def _build_entry(self, rng: Random) -> Entry:
         settings = self.settings
-        plain = settings.interface is Interface.ROUTES
+        by_routes = settings.interface is Interface.ROUTES
         forwarder = Forwarder(
             self.view,
             self.settings.name,
@@ -359,15 +359,15 @@
             settings.headers,
             settings.pool,
             settings.answer_hold,
-            plain,
+            by_routes,
         )
         filters = common_filters(self.view, self.metrics, self._tracer, self._monotonic)
-        if plain:
+        if by_routes:
             filters.append(RouteFilter(settings.headers, self._monotonic, rng))
         else:
             filters += workspace_filters(self._monotonic)
         chain = build_chain(filters, forwarder)
-        return Entry(chain, self._monotonic, self.view, plain=plain)
+        return Entry(chain, self._monotonic, self.view, by_routes=by_routes)
 
     def _hint_newer_version(self, version: int, address: str) -> None:
         self.bus.fire(newer_version_seen(version, address))
--- a/packages/wheatslipd/wheatslipd/entry/answers.py
+++ b/packages/wheatslipd/wheatslipd/entry/answers.py
@@ -27,11 +27,11 @@
 RETRY_AFTER_MS = b"wheatslip-retry-after-ms"
 
 
-def status_of(outcome: NotRun | Unknown, *, plain: bool = False) -> int:
-    """The HTTP status of a refusal or an unknown outcome; see `send_refusal` for `plain`."""
+def status_of(outcome: NotRun | Unknown, *, by_routes: bool = False) -> int:
+    """The HTTP status of an outcome that is not an answer; `by_routes` as in `send_refusal`."""
     if isinstance(outcome, Unknown):
         return _UNKNOWN_STATUS.get(outcome.reason, UNKNOWN_DEFAULT)
-    if plain and outcome.reason is Reason.DEADLINE:
+    if by_routes and outcome.reason is Reason.DEADLINE:
         return NOT_RUN_DEFAULT
     return _NOT_RUN_STATUS.get(outcome.reason, NOT_RUN_DEFAULT)
 
@@ -41,16 +41,16 @@
     outcome: NotRun | Unknown,
     extra: Headers | None = None,
     *,
-    plain: bool = False,
+    by_routes: bool = False,
 ) -> None:
     """Answer with a refusal; `extra` headers go with it.
 
-    `plain`: the caller knows HTTP only, so the status alone must say that a request was not
-    run, and `Retry-After` has fractions of a second. Otherwise our own headers say both.
+    `by_routes`: the caller knows HTTP only, so the status alone must say that the request was
+    not run, and `Retry-After` has fractions of a second. Otherwise our own headers say both.
     """
     headers: Headers = [(OUTCOME_HEADER, encode_outcome(outcome)), *(extra or [])]
-    status = status_of(outcome, plain=plain)
-    if plain:
+    status = status_of(outcome, by_routes=by_routes)
+    if by_routes:
         if status == NOT_RUN_DEFAULT and isinstance(outcome, NotRun):
             wait = outcome.retry_after or UNTIMED
             headers.append((b"retry-after", b"%.3f" % wait))
--- a/packages/wheatslipd/wheatslipd/entry/entry.py
+++ b/packages/wheatslipd/wheatslipd/entry/entry.py
@@ -19,13 +19,13 @@
         clock: Callable[[], float],
         view: View,
         *,
-        plain: bool = False,
+        by_routes: bool = False,
     ):
-        """`plain`: callers know HTTP only; see `send_refusal`."""
+        """`by_routes`: callers know HTTP only; see `send_refusal`."""
         self._chain = chain
         self._view = view
         self._clock = clock
-        self._plain = plain
+        self._by_routes = by_routes
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -33,4 +33,4 @@
             exchange.head.keep_alive = False
         outcome = await self._chain(EntryRequest(exchange, self._clock()))
         if not isinstance(outcome, Answered) and not exchange.started:
-            await send_refusal(exchange, outcome, plain=self._plain)
+            await send_refusal(exchange, outcome, by_routes=self._by_routes)
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -66,10 +66,10 @@
         names: HeaderNames,
         caller: str,
         answer_hold: int = 0,
-        plain: bool = False,
+        by_routes: bool = False,
     ):
         """`caller` is told to backend servers in the header that `names` has for it. Of an
-        answer up to `answer_hold` bytes are held until they are whole. `plain`: requests
+        answer up to `answer_hold` bytes are held until they are whole. `by_routes`: requests
         come by routes, and there are no workspaces to tell apart.
         """
         self._view = view
@@ -83,7 +83,7 @@
         self._names = names
         self._caller = caller.encode()
         self._answer_hold = answer_hold
-        self._plain = plain
+        self._by_routes = by_routes
 
     async def __call__(self, request: EntryRequest) -> Outcome:
         """Run the request to its outcome, within its deadline."""
@@ -244,14 +244,14 @@
         now = self._clock()
         original = sending.request.exchange.head
         hop = Hop(
-            workspace="" if self._plain else call.workspace,
+            workspace="" if self._by_routes else call.workspace,
             service=call.service,
             kind=call.kind.name,
             repeatable=call.kind.repeatable,
             urgent=call.call_class is CallClass.URGENT,
             remaining=round(call.remaining(now), TIME_DIGITS),
             version=self._view.version,
-            entry="" if self._plain else self._name,
+            entry="" if self._by_routes else self._name,
             key=call.key,
             depth=call.depth,
             max_wait=_bounded(chosen.max_wait),
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -6,10 +6,10 @@
 from random import Random
 
 from wheatslip.call import Call, CallClass, RequestKind
+from wheatslip.callerwait import CallerWait
 from wheatslip.config.bundle import Route
 from wheatslip.config.routes import pick_service
 from wheatslip.outcome import NotRun, Outcome, Reason
-from wheatslip.patience import Patience
 from wheatslip.retryafter import NO_SUCH_SERVICE
 
 from wheatslipd.chain import EntryRequest, Proceed
@@ -24,7 +24,7 @@
     names: HeaderNames
     clock: Callable[[], float]
     rng: Random
-    patience: Patience = field(default_factory=Patience)
+    caller_wait: CallerWait = field(default_factory=CallerWait)
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
         """Set the service and the call, or refuse what can't be read."""
@@ -51,7 +51,7 @@
     def _call(self, request: EntryRequest, route: Route, remaining: float) -> Call:
         assert request.service is not None
         allowed = min(route.timeout, remaining)
-        waited = self.patience.waited(route.name, remaining, request.arrived)
+        waited = self.caller_wait.waited(route.name, remaining, request.arrived)
         urgent = route.priority == 0
         call_class = CallClass.URGENT if urgent else CallClass.NORMAL
         arrived = request.arrived
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -8,8 +8,9 @@
 from wheatslip.retryafter import NO_CONNECTION
 
 from wheatslipd.http.body import Body, BodyBroken
-from wheatslipd.http.client import ClientConnection, Pool, Response
+from wheatslipd.http.client import ClientConnection, Response
 from wheatslipd.http.messages import RequestHead
+from wheatslipd.http.pool import ConnectionPool
 
 NO_LENGTH = frozenset({b"GET", b"HEAD"})
 
@@ -27,7 +28,7 @@
 
     def __init__(self, address: str, port: int, connections: int, connect_timeout: float):
         """`connections` bounds those open at one time; `connect_timeout` in seconds."""
-        self._pool = Pool(address, port, connections)
+        self._pool = ConnectionPool(address, port, connections)
         self._connect_timeout = connect_timeout
         self._resting = RestLimit()
 
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -68,9 +68,9 @@
         on_newer_version: Callable[[int, str], None],
         pool: str,
         names: HeaderNames,
-        plain: bool,
+        by_routes: bool,
     ):
-        """`plain`: the backend server knows nothing of wheatslip's own headers."""
+        """`by_routes`: the backend server knows nothing of wheatslip's own headers."""
         self._view = view
         self._gate = gate
         self._backend = backend
@@ -81,7 +81,7 @@
         self._on_newer_version = on_newer_version
         self._pool = pool
         self._names = names
-        self._plain = plain
+        self._by_routes = by_routes
         self.server = ""  # the backend server's id; empty: it has none
 
     async def handle(self, exchange: Exchange) -> None:
@@ -132,7 +132,7 @@
 
     async def _check_entry(self, hop: Hop, exchange: Exchange) -> NotRun | None:
         """Whether what the entry knows fits what stands here."""
-        if not self._plain:
+        if not self._by_routes:
             return await self._check_version(hop.version, exchange)
         # The entry has decided by its routes, so the version here does not matter; but the
         # address may have gone to another pool since the entry's list.
@@ -253,7 +253,7 @@
         ]
         call = passage.call
         left = max(1, int(call.remaining(self._clock()) * MILLISECONDS))
-        headers += self._plain_words(left) if self._plain else _own_words(call, left)
+        headers += self._plain_words(left) if self._by_routes else _own_words(call, left)
         if passage.trace.outgoing is not None:
             headers.append((TRACEPARENT, passage.trace.outgoing))
         return RequestHead(head.method, head.target, headers)
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -6,8 +6,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from wheatslipd.http.body import Body, BodyBroken
-from wheatslipd.http.client import Pool
 from wheatslipd.http.messages import RequestHead, ResponseHead
+from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
 
 from standins.cluster import HOST
@@ -113,7 +113,7 @@
         _, writer = await asyncio.open_connection(HOST, port)
         writer.write(data + b"\r\n\r\n")
         writer.close()
-        pool = Pool(HOST, port, 4)
+        pool = ConnectionPool(HOST, port, 4)
         connection = await pool.take(1.0)
         target = b"/%d" % number
         await connection.start_with_body(RequestHead(b"GET", target, []), b"")
@@ -160,7 +160,7 @@
 def test_a_connection_with_unasked_bytes_is_never_used_again(answer):
     async def main():
         server, port = await raw_server(answer)
-        pool = Pool(HOST, port, 4)
+        pool = ConnectionPool(HOST, port, 4)
         body, first = await _fetch(pool)
         assert body == b"ok"
         assert not first.reusable
@@ -182,7 +182,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 
         server = await asyncio.start_server(serve, HOST, 0)
-        pool = Pool(HOST, server.sockets[0].getsockname()[1], 4)
+        pool = ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4)
         _, first = await _fetch(pool)
         assert first.reusable
         late.set()
@@ -197,7 +197,7 @@
 def test_an_answer_to_head_ends_the_connection_without_a_body():
     async def main():
         server, port = await raw_server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
-        body, connection = await _fetch(Pool(HOST, port, 4), b"HEAD")
+        body, connection = await _fetch(ConnectionPool(HOST, port, 4), b"HEAD")
         assert body == b""
         assert not connection.reusable
         server.close()
@@ -214,7 +214,7 @@
 
         server = await asyncio.start_server(serve, HOST, 0)
         with pytest.raises(BodyBroken):
-            await _fetch(Pool(HOST, server.sockets[0].getsockname()[1], 4))
+            await _fetch(ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4))
         server.close()
 
     run(main)
@@ -231,7 +231,7 @@
         await exchange.finish()
 
     async def scenario(port):
-        connection = await Pool(HOST, port, 1).take(1.0)
+        connection = await ConnectionPool(HOST, port, 1).take(1.0)
         await connection.start_with_body(RequestHead(b"GET", b"/", []), b"")
         response = await connection.response()
         size = 0
@@ -266,7 +266,7 @@
 
     async def scenario():
         server, port = await raw_server(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        pool = Pool(HOST, port, 4)
+        pool = ConnectionPool(HOST, port, 4)
         connection = await pool.take(1.0)
         await connection.start(RequestHead(b"POST", b"/"), chunked=True, end=False)
         response = await connection.response()
@@ -296,7 +296,7 @@
                     )
 
         server = await asyncio.start_server(serve, HOST, 0)
-        pool = Pool(HOST, server.sockets[0].getsockname()[1], 4)
+        pool = ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4)
         for number in (1, 2, 3):
             connection = await pool.take(1.0)
             connection.expect_echo(b"request-id", b"%d" % number)
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -27,8 +27,8 @@
     watcher_ring,
 )
 from wheatslip.store.instances import Instance
-from wheatslipd.http.client import Pool
 from wheatslipd.http.messages import RequestHead
+from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
 from wheatslipd.settings import TlsFiles
 from wheatslipd.tls import peer_tls
@@ -316,10 +316,10 @@
         ours, theirs = (peer_tls(files) for files in authorities)
         server = Server(echo, ours.server)
         await server.listen(HOST, 0)
-        connection = await Pool(HOST, server.port, 1, ours.client).take(5.0)
+        connection = await ConnectionPool(HOST, server.port, 1, ours.client).take(5.0)
         await connection.start_with_body(RequestHead(b"GET", b"/a", []), b"")
         assert await (await connection.response()).body.read_up_to(10) == b"/a "
-        assert await Pool(HOST, server.port, 1, theirs.client).take(5.0) is None
+        assert await ConnectionPool(HOST, server.port, 1, theirs.client).take(5.0) is None
         bare = ssl.create_default_context()
         bare.check_hostname = False
         bare.verify_mode = ssl.CERT_NONE
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -7,8 +7,9 @@
 from wheatslip.resting import MEMORY, RestLimit
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.http.body import Body
-from wheatslipd.http.client import PROBE_SECONDS, Pool
+from wheatslipd.http.client import PROBE_SECONDS
 from wheatslipd.http.messages import RequestHead, ResponseHead
+from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
 
 from standins.cluster import HOST
@@ -70,7 +71,7 @@
     async def scenario():
         server = Server(lambda exchange: exchange.respond(ResponseHead(200)))
         await server.listen(HOST, 0)
-        pool = Pool(HOST, server.port, 10)
+        pool = ConnectionPool(HOST, server.port, 10)
         connections = [await pool.take(1.0) for _ in range(3)]
         for connection in connections:
             pool.give_back(connection)
@@ -97,7 +98,7 @@
             (errno.ETIMEDOUT, PROBE_SECONDS, False),
             (errno.ECONNRESET, 0.0, False),
         ):
-            pool = Pool(HOST, server.port, 10)
+            pool = ConnectionPool(HOST, server.port, 10)
             connection = await pool.take(1.0)
             head = RequestHead(b"GET", b"/", [(b"host", b"a")])
             await connection.start_with_body(head, b"")
