--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -225,7 +225,7 @@
         self._learn_load(response.head)
         if self._was_not_run(response.head, passage.call):
             if self.server and response.head.status == MISDIRECTED:
-                self._gate.on_stranger()
+                self._gate.server_replaced()
             return TURNED_AWAY
         headers = [
             (name, value)
