--- a/packages/wheatslip/wheatslip/hop.py
+++ b/packages/wheatslip/wheatslip/hop.py
@@ -1,4 +1,11 @@
-"""What daemons tell each other on a forwarded request and on its answer."""
+"""What daemons send each other on a forwarded request and on its answer.
+
+Messages travel as arrays in header values, since bytes between zones cost more than field names
+are worth. Durations are in seconds and count from now, so that the clocks of two daemons need
+not agree.
+"""
+
+from typing import TypeVar
 
 import msgspec
 
@@ -7,77 +14,69 @@
 HOP_HEADER = b"wheatslip-hop"
 OUTCOME_HEADER = b"wheatslip-outcome"
 LOAD_HEADER = b"wheatslip-load"
+# Bytes of a header value; above what a daemon sends, so that a longer one is not parsed.
 MAX_HOP_BYTES = 2048
 
 
 class Hop(msgspec.Struct, frozen=True, array_like=True):
-    """Rides in front of a forwarded request. `remaining` is in seconds, so that the
-    clocks of two daemons need not agree; `entry` names the daemon that sends it; a
-    request that would wait longer than `max_wait` seconds is refused, as the entry has others
-    to try; None: any wait will do. `target` and `hold` are the seconds left until the call's
-    `target` and `hold_until`; None: there is no such bound. It travels as an array, since
-    bytes between zones cost more than names are worth; so does a finer time than
-    milliseconds.
-    """
+    """What an entry sends in front of a forwarded request."""
 
     workspace: str
     service: str
     kind: str
     repeatable: bool
-    remaining: float
-    version: int
-    entry: str
+    remaining: float  # until the call's deadline
+    version: int  # of the bundle in force at the entry
+    entry: str  # name of the daemon that sends it
     urgent: bool = False
     key: str = ""
-    depth: int = 0
+    depth: int = 0  # calls that led to this one, each made while serving the one before
+    # A request that would wait longer is refused, as the entry has others to try; None: any
+    # wait will do.
     max_wait: float | None = None
-    target: float | None = None
-    hold: float | None = None
+    target: float | None = None  # until the call's `target`; None: it has none
+    hold: float | None = None  # until the call's `hold_until`; None: it has none
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """Rides back on every answer: the exact load at the backend server's own daemon.
+    """The load at the gate of a backend server, which rides back on every answer."""
 
-    `in_flight` and `queued` count requests, `limit` is the concurrency limit, `service`
-    the recent mean service time in seconds, `version` the bundle version in force there.
-    `slowness` is how long work takes there right now, as a part of that mean.
-    """
+    in_flight: int  # requests that run
+    queued: int  # requests that wait
+    limit: int  # the concurrency limit
+    service: float  # recent mean service time, seconds
+    version: int  # of the bundle in force there
+    draining: bool = False  # whether the server is leaving
+    slowness: float = 1.0  # ratio of the present service time to that mean
 
-    in_flight: int
-    queued: int
-    limit: int
-    service: float
-    version: int
-    draining: bool = False
-    slowness: float = 1.0
 
+_Message = TypeVar("_Message", Hop, LoadReport)
 
-_hop_encoder = msgspec.json.Encoder()
+_encoder = msgspec.json.Encoder()
 _hop_decoder = msgspec.json.Decoder(Hop)
 _load_decoder = msgspec.json.Decoder(LoadReport)
 
 
 def encode(message: Hop | LoadReport) -> bytes:
     """The header value of a message."""
-    return _hop_encoder.encode(message)
+    return _encoder.encode(message)
 
 
 def decode_hop(value: bytes) -> Hop | None:
     """A hop from a header value, None if it is not one."""
-    if len(value) > MAX_HOP_BYTES:
-        return None
-    try:
-        return _hop_decoder.decode(value)
-    except msgspec.DecodeError:
-        return None
+    return _decode(_hop_decoder, value)
 
 
 def decode_load(value: bytes) -> LoadReport | None:
     """A load report from a header value, None if it is not one."""
+    return _decode(_load_decoder, value)
+
+
+def _decode(decoder: msgspec.json.Decoder[_Message], value: bytes) -> _Message | None:
     if len(value) > MAX_HOP_BYTES:
         return None
     try:
-        return _load_decoder.decode(value)
+        return decoder.decode(value)
     except msgspec.DecodeError:
         return None
 
@@ -93,9 +92,9 @@
 
 
 def decode_refusal(value: bytes, retry_after: float | None = None) -> NotRun | Unknown | None:
-    """The refusal in an outcome header's value; None for `answered`.
+    """The refusal in an outcome header's value, with its time in seconds; None for `answered`.
 
-    What can't be read counts as unknown: it must not pass for a promise.
+    What can't be read counts as unknown: it must not pass for the promise that nothing ran.
     """
     if value == b"answered":
         return None
