--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -29,7 +29,7 @@
 from wheatslipd.controllers.zones import ZoneController
 from wheatslipd.entry.entry import Entry
 from wheatslipd.entry.filters import common_filters, workspace_filters
-from wheatslipd.entry.forward import Forwarder
+from wheatslipd.entry.forward import Decisions, Forwarder, ForwardSettings
 from wheatslipd.entry.routefilter import RouteFilter
 from wheatslipd.feed.feed import Feed
 from wheatslipd.feed.proof import proof_of
@@ -371,23 +371,25 @@
     def _build_entry(self, rng: Random) -> Entry:
         settings = self.settings
         by_routes = settings.interface is Interface.ROUTES
+        forward_settings = ForwardSettings(
+            settings.name,
+            settings.pool.encode(),
+            settings.headers,
+            settings.answer_hold,
+            by_routes,
+        )
+        budgets = RetryBudgets(
+            fleet=settings.fleet_budget,
+            members=lambda: len(self.feed.cache.instances),
+            started=self._monotonic(),
+        )
         forwarder = Forwarder(
+            forward_settings,
+            Decisions(self._chooser, budgets),
             self.view,
-            self.settings.name,
-            self._chooser,
             self.metrics,
-            rng,
             self._monotonic,
             self._hint_newer_version,
-            RetryBudgets(
-                fleet=settings.fleet_budget,
-                members=lambda: len(self.feed.cache.instances),
-                started=self._monotonic(),
-            ),
-            settings.headers,
-            settings.pool,
-            settings.answer_hold,
-            by_routes,
         )
         filters = common_filters(self.view, self.metrics, self._tracer, self._monotonic)
         if by_routes:
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -1,9 +1,14 @@
-"""The end of the entry's chain: choose a backend server, send, retry what may be retried."""
+"""The end of the entry's chain: choose a backend server, send, retry what may be retried.
+
+`wheatslip.attempts` decides where to and whether again; here is what carries it out. A request
+passes these stages, each with a type: `EntryRequest` (as the filters left it), `_Sending` (its
+body is read as far as it is kept, so it can be sent), `Try` and `Peer` (where this send goes),
+and the `Outcome` of each try.
+"""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
-from random import Random
 
 from wheatslip.attempts import REPLACED, SERVER_ERROR, Attempts, Replaced, Try
 from wheatslip.budget import RetryBudgets
@@ -33,19 +38,44 @@
 from wheatslipd.telemetry.outcomes import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
-TIME_DIGITS = 3  # of seconds that travel with a request
-REPLAY_LIMIT = 64 * 1024  # a body up to this size is kept, so that it can be sent again
-CONNECT_TIMEOUT = 0.25  # seconds
+TIME_DIGITS = 3  # of seconds that travel with a request: milliseconds
+# Bytes of a body that are kept, so that it can be sent again; a larger one is streamed, and
+# sent once. Each request under way may hold as much. Chosen, not measured.
+REPLAY_LIMIT = 64 * 1024
+# Seconds. Shorter, a peer that lost a packet counts as unreachable; longer, a lost machine
+# holds a request for as long. Chosen, not measured.
+CONNECT_TIMEOUT = 0.25
 _NOT_FORWARDED = frozenset({b"authorization", b"content-length", TRACEPARENT})
 
 
+@dataclass(frozen=True, slots=True)
+class ForwardSettings:
+    """What the daemon's settings say of forwarding."""
+
+    daemon: str  # this daemon's name
+    caller: bytes  # what `names.caller` tells backend servers of who calls
+    names: HeaderNames
+    answer_hold: int = 0  # bytes of an answer that are held until they are whole
+    by_routes: bool = False  # requests come by routes: there are no workspaces to tell apart
+
+
+@dataclass(frozen=True, slots=True)
+class Decisions:
+    """What decides where a request goes, and whether again."""
+
+    chooser: Chooser
+    budgets: RetryBudgets
+
+
 @dataclass(slots=True, eq=False)
 class _Sending:
-    """What the tries of one request share."""
+    """A request that is ready to be sent: what its tries share."""
 
     request: EntryRequest
     call: Call
+    pool: str  # of the call's service
     attempts: Attempts
+    limit: asyncio.Timeout  # the call's deadline, for the head of an answer
     replay: bytes  # the body as far as it was read
     has_more: bool  # whether the body goes on behind `replay`
 
@@ -55,35 +85,24 @@
 
     def __init__(
         self,
+        settings: ForwardSettings,
+        decisions: Decisions,
         view: View,
-        name: str,
-        chooser: Chooser,
         metrics: Metrics,
-        rng: Random,
         clock: Callable[[], float],
         on_newer_version: Callable[[int, str], None],
-        budgets: RetryBudgets,
-        names: HeaderNames,
-        caller: str,
-        answer_hold: int = 0,
-        by_routes: bool = False,
     ):
-        """`caller` is told to backend servers in the header that `names` has for it. Of an
-        answer up to `answer_hold` bytes are held until they are whole. `by_routes`: requests
-        come by routes, and there are no workspaces to tell apart.
+        """`clock` is in seconds, monotonic. `on_newer_version` takes a bundle version that is
+        newer than the one in force here, and the address of the daemon that has it.
         """
+        self._settings = settings
+        self._chooser = decisions.chooser
+        self._budgets = decisions.budgets
+        self._rng = decisions.chooser.rng
         self._view = view
-        self._name = name
-        self._chooser = chooser
         self._metrics = metrics
-        self._rng = rng
         self._clock = clock
         self._on_newer_version = on_newer_version
-        self._budgets = budgets
-        self._names = names
-        self._caller = caller.encode()
-        self._answer_hold = answer_hold
-        self._by_routes = by_routes
 
     async def __call__(self, request: EntryRequest) -> Outcome:
         """Run the request to its outcome, within its deadline."""
@@ -93,16 +112,16 @@
         attempts = Attempts(call, self._chooser, budget)
         try:
             async with asyncio.timeout(max(0.0, call.remaining(self._clock()))) as limit:
-                sending = await self._prepare(request, call, attempts)
+                sending = await self._prepare(request, call, attempts, limit)
                 if sending is None:
                     return NotRun(Reason.BAD_REQUEST)
-                await self._try_all(sending, limit)
+                await self._try_all(sending)
         except TimeoutError:
             return attempts.expired()
         return attempts.result()
 
     async def _prepare(
-        self, request: EntryRequest, call: Call, attempts: Attempts
+        self, request: EntryRequest, call: Call, attempts: Attempts, limit: asyncio.Timeout
     ) -> _Sending | None:
         """Read what of the body can be kept; None if the caller broke it off."""
         body = request.exchange.body
@@ -112,22 +131,25 @@
             replay = await body.read_up_to(REPLAY_LIMIT)
         except BodyBroken:
             return None
-        return _Sending(request, call, attempts, replay, has_more=not body.exhausted)
+        assert request.configuration is not None
+        pool = request.configuration.services[call.service].pool
+        has_more = not body.exhausted
+        return _Sending(request, call, pool, attempts, limit, replay, has_more)
 
-    async def _try_all(self, sending: _Sending, limit: asyncio.Timeout) -> None:
+    async def _try_all(self, sending: _Sending) -> None:
         attempts = sending.attempts
         again = True
         while again:
-            peers = self._peers(sending)
+            peers = self._view.peers(sending.pool)
             upstreams = [peer.upstream for peer in peers]
             chosen = attempts.next(upstreams, self._clock())
             if chosen is None:
                 return
             peer = next(peer for peer in peers if peer.upstream is chosen.upstream)
-            outcome = await self._send(sending, chosen, peer, limit)
+            outcome = await self._send(sending, chosen, peer)
             self._log_try(sending, chosen, outcome)
             if isinstance(outcome, Replaced):
-                continue
+                continue  # the attempts have counted it, and paid for the next
             again = attempts.ended(outcome) and not sending.request.exchange.started
 
     def _log_try(self, sending: _Sending, chosen: Try, outcome: Outcome) -> None:
@@ -152,47 +174,35 @@
             left=round(sending.call.remaining(now), 3),
         )
 
-    def _peers(self, sending: _Sending) -> tuple[Peer, ...]:
-        configuration = sending.request.configuration
-        assert configuration is not None
-        pool = configuration.services[sending.call.service].pool
-        return self._view.peers(pool)
-
-    async def _send(
-        self, sending: _Sending, chosen: Try, peer: Peer, limit: asyncio.Timeout
-    ) -> Outcome:
+    async def _send(self, sending: _Sending, chosen: Try, peer: Peer) -> Outcome | Replaced:
+        """One try, from its connection to its outcome."""
         kind = "first" if sending.attempts.tries == 1 else "retry"
         self._metrics.sends.inc({"service": sending.call.service, "try": kind})
         upstream = peer.upstream
         upstream.on_sent()
         try:
-            connection = await peer.connections.take(self._connect_patience(sending.call))
+            connection = await peer.connections.take(self._connect_timeout(sending.call))
             if connection is None:
                 upstream.on_unreachable(self._clock(), self._rng)
                 return NO_PEER_CONNECTION
             try:
-                return await self._exchange(sending, chosen, peer, connection, limit)
+                return await self._exchange(sending, chosen, peer, connection)
             finally:
                 peer.connections.give_back(connection)
         finally:
             upstream.on_done()
 
-    def _connect_patience(self, call: Call) -> float:
+    def _connect_timeout(self, call: Call) -> float:
         """Seconds that a connection may take.
 
-        A call bound by its key can go nowhere else, and what is told "not run" because of a
-        slow connection may have run by another send of its key.
+        A call bound by its key can go nowhere else, and what is reported as not run because of
+        a slow connection may have run by another send of its key.
         """
         return call.remaining(self._clock()) if call.runs_once_by_key else CONNECT_TIMEOUT
 
     async def _exchange(
-        self,
-        sending: _Sending,
-        chosen: Try,
-        peer: Peer,
-        connection: ClientConnection,
-        limit: asyncio.Timeout,
-    ) -> Outcome:
+        self, sending: _Sending, chosen: Try, peer: Peer, connection: ClientConnection
+    ) -> Outcome | Replaced:
         sending.attempts.on_bytes_sent()
         try:
             await self._send_request(sending, chosen, connection)
@@ -212,17 +222,18 @@
         if sending.attempts.replace_answer(response.head.status):
             return REPLACED
         try:
-            held = await response.body.read_up_to(self._answer_hold)
+            held = await response.body.read_up_to(self._settings.answer_hold)
         except BodyBroken:
             # Nothing of it has gone out yet, so another try may still answer.
             return Unknown(Reason.CONNECTION_LOST)
         # From here on the answer streams; its deadline was for the head.
-        limit.reschedule(None)
+        sending.limit.reschedule(None)
         return await self._relay(sending.request, response, held)
 
     async def _send_request(
         self, sending: _Sending, chosen: Try, connection: ClientConnection
     ) -> None:
+        """Send the request; of a long body only what the other end asks for."""
         head = self._peer_head(sending, chosen)
         if not sending.has_more:
             if sending.replay or sending.request.exchange.head.method not in (b"GET", b"HEAD"):
@@ -240,34 +251,39 @@
         await connection.finish(chunked=True)
 
     def _peer_head(self, sending: _Sending, chosen: Try) -> RequestHead:
-        call = sending.call
-        now = self._clock()
+        """The head of the request as it goes to the peer, with what its daemon must know."""
+        names = self._settings.names
         original = sending.request.exchange.head
-        hop = Hop(
-            workspace="" if self._by_routes else call.workspace,
+        dropped = _NOT_FORWARDED | names.set_by_us
+        headers = [(name, value) for name, value in original.forwarded() if name not in dropped]
+        if names.caller:
+            headers.append((names.caller, self._settings.caller))
+        headers.append((HOP_HEADER, encode(self._hop(sending.call, chosen))))
+        if sending.request.trace.outgoing is not None:
+            headers.append((TRACEPARENT, sending.request.trace.outgoing))
+        return RequestHead(original.method, original.target, headers)
+
+    def _hop(self, call: Call, chosen: Try) -> Hop:
+        now = self._clock()
+        by_routes = self._settings.by_routes
+        return Hop(
+            workspace="" if by_routes else call.workspace,
             service=call.service,
             kind=call.kind.name,
             repeatable=call.kind.repeatable,
             urgent=call.call_class is CallClass.URGENT,
             remaining=round(call.remaining(now), TIME_DIGITS),
             version=self._view.version,
-            entry="" if self._by_routes else self._name,
+            entry="" if by_routes else self._settings.daemon,
             key=call.key,
             depth=call.depth,
             max_wait=_bounded(chosen.max_wait),
             target=_bounded(call.target - now),
             hold=_bounded(call.hold_until - now),
         )
-        dropped = _NOT_FORWARDED | self._names.set_by_us
-        headers = [(name, value) for name, value in original.forwarded() if name not in dropped]
-        if self._names.caller:
-            headers.append((self._names.caller, self._caller))
-        headers.append((HOP_HEADER, encode(hop)))
-        if sending.request.trace.outgoing is not None:
-            headers.append((TRACEPARENT, sending.request.trace.outgoing))
-        return RequestHead(original.method, original.target, headers)
 
     def _learn(self, peer: Peer, response: Response) -> None:
+        """Take over what an answer reports: load, bundle version, a failure of the server."""
         now = self._clock()
         value = response.head.get(LOAD_HEADER)
         report = decode_load(value) if value else None
@@ -282,6 +298,7 @@
 
     @staticmethod
     def _refusal(response: Response) -> NotRun | Unknown | None:
+        """Why there is no answer of the backend server in it; None if there is one."""
         value = response.head.get(OUTCOME_HEADER)
         if value is None:
             return Unknown(Reason.CONNECTION_LOST)
@@ -290,6 +307,7 @@
 
     @staticmethod
     async def _relay(request: EntryRequest, response: Response, held: bytes) -> Outcome:
+        """Send the answer on to the caller, to its end."""
         head = ResponseHead(response.head.status, response.head.forwarded())
         head.headers.append((OUTCOME_HEADER, b"answered"))
         request.exchange.start(head)
