--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -37,7 +37,7 @@
 from wheatslipd.gate.gate import Gate, SpeedProbing
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.gate.measure import Measurer
-from wheatslipd.gate.peerport import PeerPort
+from wheatslipd.gate.peerport import BackendWay, PeerPort, PeerTerms
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.http.server import Server
 from wheatslipd.registration.ownserver import OwnServer
@@ -129,16 +129,12 @@
         self.entry_server = Server(self._build_entry(rng).handle)
         self.peer_port = PeerPort(
             self.view,
-            self.gate,
-            self._backend,
-            self._keys,
+            BackendWay(self._keys, self.gate, self._backend),
+            PeerTerms(settings.pool, settings.headers, settings.interface is Interface.ROUTES),
             self.metrics,
             self._tracer,
             monotonic,
             self._hint_newer_version,
-            settings.pool,
-            settings.headers,
-            settings.interface is Interface.ROUTES,
         )
         self.peer_server = Server(self.peer_port.handle, tls.server)
         self.own_server = self._own_server(store, rng, ports.decode_heartbeat)
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -25,8 +25,8 @@
 
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
-from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER, MILLISECONDS
 from wheatslipd.gate.backend import Backend, BackendAnswer
+from wheatslipd.gate.backendhead import backend_head, named_headers, wheatslip_headers
 from wheatslipd.gate.gate import Gate
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.http.body import BodyBroken
@@ -37,9 +37,14 @@
 from wheatslipd.telemetry.outcomes import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT, HopTrace, HopTracer
 
-CATCH_UP_SECONDS = 0.5  # how long a request waits for a version that its entry has already
-CATCH_UP_STEP = 0.02
-BODY_HOLD = 64 * 1024  # bytes of a request's body that are waited for; entries send as much
+# Seconds that a request waits for a configuration which its entry has already and this daemon
+# has not: shorter refuses requests while a change travels, longer only delays their next try.
+# Chosen, not measured.
+CATCH_UP_SECONDS = 0.5
+CATCH_UP_STEP = 0.02  # seconds between two looks at the version; chosen, not measured
+# Bytes of a body that are waited for before the request takes a slot: less lets slow bodies hold
+# slots, more holds memory for each request. As much as an entry sends ahead.
+BODY_HOLD = 64 * 1024
 MISDIRECTED = 421  # HTTP status of a server that is not the one that is meant
 
 
@@ -53,35 +58,52 @@
     trace: HopTrace
 
 
+@dataclass(frozen=True, slots=True)
+class BackendWay:
+    """What a request passes to the backend server, in this order."""
+
+    keys: KeyGuard
+    gate: Gate
+    backend: Backend
+
+
+@dataclass(frozen=True, slots=True)
+class PeerTerms:
+    """What entries and the backend server go by. `pool` is that of the backend server; with
+    `by_routes` entries decide by their routes, and the server knows no headers of wheatslip.
+    """
+
+    pool: str
+    names: HeaderNames
+    by_routes: bool
+
+
 class PeerPort:
     """Handles forwarded requests."""
 
     def __init__(
         self,
         view: View,
-        gate: Gate,
-        backend: Backend,
-        keys: KeyGuard,
+        way: BackendWay,
+        terms: PeerTerms,
         metrics: Metrics,
         tracer: HopTracer,
         clock: Callable[[], float],
         on_newer_version: Callable[[int, str], None],
-        pool: str,
-        names: HeaderNames,
-        plain: bool,
     ):
-        """`plain`: the backend server knows nothing of wheatslip's own headers."""
+        """`on_newer_version` takes a bundle version that an entry has and this daemon has not
+        yet, and the address of that entry.
+        """
         self._view = view
-        self._gate = gate
-        self._backend = backend
-        self._keys = keys
+        self._keys = way.keys
+        self._gate = way.gate
+        self._backend = way.backend
+        self._terms = terms
+        self._names = terms.names
         self._metrics = metrics
         self._tracer = tracer
         self._clock = clock
         self._on_newer_version = on_newer_version
-        self._pool = pool
-        self._names = names
-        self._plain = plain
         self.server = ""  # the backend server's id; empty: it has none
 
     async def handle(self, exchange: Exchange) -> None:
@@ -131,12 +153,12 @@
         return await self._run(passage, None)
 
     async def _check_entry(self, hop: Hop, exchange: Exchange) -> NotRun | None:
-        """Whether what the entry knows fits what stands here."""
-        if not self._plain:
+        """A refusal if the entry decided by a list or configuration that is out of date."""
+        if not self._terms.by_routes:
             return await self._check_version(hop.version, exchange)
         # The entry has decided by its routes, so the version here does not matter; but the
         # address may have gone to another pool since the entry's list.
-        if hop.service != self._pool:
+        if hop.service != self._terms.pool:
             return NotRun(Reason.WRONG_POOL)
         if hop.version > self._view.version:
             self._on_newer_version(hop.version, exchange.connection.peer_address)
@@ -180,9 +202,9 @@
         return Answered(kept.status)
 
     async def _run(self, passage: _Passage, kept: KeptAnswer | None) -> Outcome:
-        max_wait = passage.hop.max_wait
-        patience = ANY_WAIT if max_wait is None else max_wait
-        ticket = await self._gate.enter(passage.call, patience)
+        bound = passage.hop.max_wait
+        max_wait = ANY_WAIT if bound is None else bound
+        ticket = await self._gate.enter(passage.call, max_wait)
         if isinstance(ticket, NotRun):
             return ticket
         return await self._run_started(passage, ticket, kept)
@@ -201,7 +223,8 @@
                     self._backend_head(passage),
                     passage.exchange.body,
                     (echo, request_id) if echo and request_id else None,
-                    # Other sends of the same key hear that it runs, so it should.
+                    # Whoever sends the same key meanwhile hears that it runs, so the
+                    # connection may take all the time that is left.
                     remaining if passage.call.runs_once_by_key else 0.0,
                 )
             if not isinstance(answer, BackendAnswer):
@@ -245,26 +268,13 @@
         return Answered(response.head.status)
 
     def _backend_head(self, passage: _Passage) -> RequestHead:
-        head = passage.exchange.head
-        headers = [
-            (name, value)
-            for name, value in head.forwarded()
-            if name not in (b"content-length", TRACEPARENT)
-        ]
         call = passage.call
-        left = max(1, int(call.remaining(self._clock()) * MILLISECONDS))
-        headers += self._plain_words(left) if self._plain else _own_words(call, left)
-        if passage.trace.outgoing is not None:
-            headers.append((TRACEPARENT, passage.trace.outgoing))
-        return RequestHead(head.method, head.target, headers)
-
-    def _plain_words(self, milliseconds_left: int) -> Headers:
-        headers: Headers = []
-        if self._names.deadline:
-            headers.append((self._names.deadline, b"%d" % milliseconds_left))
-        if self._names.instance and self.server:
-            headers.append((self._names.instance, self.server.encode()))
-        return headers
+        now = self._clock()
+        if self._terms.by_routes:
+            own_headers = named_headers(self._names, call, now, self.server)
+        else:
+            own_headers = wheatslip_headers(call, now)
+        return backend_head(passage.exchange.head, own_headers, passage.trace.outgoing)
 
     def _learn_load(self, head: ResponseHead) -> None:
         load = decode_backend_load(head.get(self._names.load) or b"")
@@ -293,14 +303,3 @@
 def _moment(now: float, left: float | None) -> float:
     """The moment that is `left` seconds away; never, if there is no such bound."""
     return ANY_WAIT if left is None else now + left
-
-
-def _own_words(call: Call, milliseconds_left: int) -> Headers:
-    headers = [
-        (b"wheatslip-workspace", call.workspace.encode()),
-        (DEADLINE_HEADER, b"%d" % milliseconds_left),
-        (DEPTH_HEADER, b"%d" % (call.depth + 1)),
-    ]
-    if call.key:
-        headers.append((b"wheatslip-key", call.key.encode()))
-    return headers
