--- a/packages/wheatslip/wheatslip/admission/__init__.py
+++ b/packages/wheatslip/wheatslip/admission/__init__.py
@@ -9,13 +9,11 @@
 from wheatslip.admission.closures import ClosedBy
 from wheatslip.admission.coldturns import ColdRate, ColdTurns, cold_rate
 from wheatslip.admission.ticket import (
-    ANY_WAIT,
     AdmissionSettings,
     Ticket,
 )
 
 __all__ = [
-    "ANY_WAIT",
     "REFUSAL_LOSS",
     "Admission",
     "AdmissionSettings",
--- a/packages/wheatslipd/wheatslipd/gate/backendhead.py
+++ b/packages/wheatslipd/wheatslipd/gate/backendhead.py
@@ -5,8 +5,8 @@
 
 from wheatslip.call import Call
 
-from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER, MILLISECONDS
-from wheatslipd.http.messages import Headers, RequestHead
+from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER
+from wheatslipd.http.messages import MILLISECONDS, Headers, RequestHead
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wheatslip.admission import ANY_WAIT, Ticket
+from wheatslip.admission import Ticket
 from wheatslip.backendload import decode_backend_load
-from wheatslip.call import Call, CallClass, RequestKind
+from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
 from wheatslip.hop import (
     HOP_HEADER,
     LOAD_HEADER,
@@ -42,7 +42,7 @@
 # Chosen, not measured.
 CATCH_UP_SECONDS = 0.5
 CATCH_UP_STEP = 0.02  # seconds between two looks at the version; chosen, not measured
-# Bytes of a body that are waited for before the request takes a slot: less lets slow bodies hold
+# Bytes of a body that are waited for before a request takes a slot: less lets slow bodies hold
 # slots, more holds memory for each request. As much as an entry sends ahead.
 BODY_HOLD = 64 * 1024
 MISDIRECTED = 421  # HTTP status of a server that is not the one that is meant
