--- a/packages/wheatslip/wheatslip/admission/__init__.py
+++ b/packages/wheatslip/wheatslip/admission/__init__.py
@@ -1,8 +1,11 @@
 """Admission at one backend server.
 
-`admission` holds the rules, `closures` why a gate is closed, `judgement` the judgement of time,
-`line` who waits in which order, `coldturns` the turns of a cold server, `ticket` the requests
-at the gate.
+- `admission`: the rules by which a request starts, waits or is refused
+- `closures`: why a gate is closed
+- `timing`: how long requests take, and how long they may wait
+- `line`: the waiting requests, in the order in which they start
+- `coldturns`: how many requests may start at a cold server
+- `ticket`: a request at the gate
 """
 
 from wheatslip.admission.admission import REFUSAL_LOSS, Admission
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -24,12 +24,12 @@
 
 from wheatslip.admission.closures import Closures
 from wheatslip.admission.coldturns import ColdTurns
-from wheatslip.admission.judgement import Judgement
 from wheatslip.admission.line import WaitingLine
 from wheatslip.admission.ticket import (
     AdmissionSettings,
     Ticket,
 )
+from wheatslip.admission.timing import ServiceTiming
 from wheatslip.call import ANY_WAIT, Call, CallClass
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.outcome import NotRun, Reason
@@ -52,7 +52,7 @@
     """The gate of one backend server."""
 
     settings: AdmissionSettings
-    judgement: Judgement = field(init=False)
+    timing: ServiceTiming = field(init=False)
     closures: Closures = field(init=False, default_factory=Closures)
     last_finished: float = float("-inf")
     cold: ColdTurns = field(init=False, default_factory=ColdTurns)
@@ -61,36 +61,36 @@
     _was_full: bool = field(init=False, default=False)  # someone had to wait or go away
 
     def __post_init__(self) -> None:
-        self.judgement = Judgement(ConcurrencyLimit(self.settings.slots))
+        self.timing = ServiceTiming(ConcurrencyLimit(self.settings.slots))
         self._line = WaitingLine(self.settings.urgent_share)
 
     @property
     def limit(self) -> ConcurrencyLimit:
         """How many may run at one time."""
-        return self.judgement.limit
+        return self.timing.limit
 
     @property
     def speed(self) -> SpeedModel:
         """What is known of the server's slow stretches."""
-        return self.judgement.speed
+        return self.timing.speed
 
     @property
     def slowness(self) -> float:
         """How long work takes at the server now, as a part of the usual."""
-        return self.judgement.slowness
+        return self.timing.slowness
 
     @slowness.setter
     def slowness(self, slowness: float) -> None:
-        self.judgement.slowness = slowness
+        self.timing.slowness = slowness
 
     @property
     def is_speed_known(self) -> bool:
         """Whether the slowness was told, where a server tells it."""
-        return self.judgement.is_speed_known
+        return self.timing.is_speed_known
 
     @is_speed_known.setter
     def is_speed_known(self, known: bool) -> None:
-        self.judgement.is_speed_known = known
+        self.timing.is_speed_known = known
 
     @property
     def in_flight(self) -> int:
@@ -109,17 +109,17 @@
     def resize(self, settings: AdmissionSettings) -> None:
         """Take new bounds; what waits or runs stays."""
         if settings.slots != self.settings.slots:
-            self.judgement.limit = ConcurrencyLimit(settings.slots)
+            self.timing.limit = ConcurrencyLimit(settings.slots)
         self.settings = settings
         self._line.set_urgent_share(settings.urgent_share)
 
     def learn_speed(self, slowness: float, now: float) -> None:
         """The backend server told how long work takes there, as a part of the usual."""
-        self.judgement.learn_speed(slowness, now)
+        self.timing.learn_speed(slowness, now)
 
     def forget_speed(self) -> None:
         """Another backend server stands here: how fast it is, is not known until it tells."""
-        self.judgement.forget_speed()
+        self.timing.forget_speed()
 
     def gain_of_asking(self, call: Call, now: float) -> float:
         """What is saved on average if the server is asked for its speed before `call` starts,
@@ -133,19 +133,19 @@
         if self.queued or not self._has_room(now):
             return 0.0  # it waits, and starts when an answer has told the speed anew
         left = min(call.target, call.deadline) - now
-        at_pace = self.judgement.at_pace(call, now)
+        at_pace = self.timing.at_pace(call, now)
         if at_pace > left or at_pace * self.speed.factor <= left:
             return 0.0
         slow = self.speed.slow_chance(now)
-        return (1.0 - slow) * REFUSAL_LOSS if self.judgement.in_slow_stretch else slow
+        return (1.0 - slow) * REFUSAL_LOSS if self.timing.in_slow_stretch else slow
 
     def service_estimate(self, now: float) -> float:
         """Seconds one request takes now."""
-        return self.judgement.service_estimate(now)
+        return self.timing.service_estimate(now)
 
     def usual_service(self, now: float) -> float:
         """Seconds one request takes when the server is as fast as usual."""
-        return self.judgement.usual_service(now)
+        return self.timing.usual_service(now)
 
     def expected_wait(self, call: Call, now: float) -> float:
         """Seconds until a call that arrives now would start, given its workspace's share."""
@@ -186,15 +186,15 @@
         if call.remaining(now) <= 0:
             return NotRun(Reason.DEADLINE)
         ticket = Ticket(call, now, max_wait=max_wait)
-        if max_wait < ANY_WAIT and self.judgement.is_better_elsewhere(call, max_wait, now):
+        if max_wait < ANY_WAIT and self.timing.is_better_elsewhere(call, max_wait, now):
             return overloaded(0.0)
         has_room = self._has_room(now)
-        if has_room and not self.queued and not self.judgement.waits_out(call, now):
+        if has_room and not self.queued and not self.timing.waits_out(call, now):
             self._start(ticket, now)
             return ticket
         self._was_full = self._was_full or not has_room
         wait = self.expected_wait(call, now)
-        if wait > max_wait or self.judgement.is_too_late(call, wait, now):
+        if wait > max_wait or self.timing.is_too_late(call, wait, now):
             return overloaded(wait)
         if self._misses_target(call, wait, now):
             return overloaded(wait)
@@ -211,10 +211,10 @@
         if ticket not in self._running:
             return []
         self._running.remove(ticket)
-        self.judgement.on_end(ticket.started)
+        self.timing.on_end(ticket.started)
         self.last_finished = now
         took = now - ticket.started
-        if worked and self.judgement.observe(ticket, took, saturated=self._was_full):
+        if worked and self.timing.observe(ticket, took, saturated=self._was_full):
             self._was_full = bool(self.queued)
         return self.admit(now)
 
@@ -226,7 +226,7 @@
             ticket
             for ticket in self._line
             if ticket.max_wait < ANY_WAIT
-            and self.judgement.is_better_elsewhere(ticket.call, ticket.max_wait, now)
+            and self.timing.is_better_elsewhere(ticket.call, ticket.max_wait, now)
         ]
         for ticket in found:
             self._line.remove(ticket)
@@ -246,7 +246,7 @@
             ticket = self._line.pop()
             if ticket is None:
                 break
-            if self.judgement.waits_out(ticket.call, now):
+            if self.timing.waits_out(ticket.call, now):
                 passed_over.append(ticket)
             elif not self._falls_behind(ticket, now):
                 self._start(ticket, now)
@@ -271,14 +271,14 @@
             is_idle = 2 * self.in_flight <= self.limit.value
             left = LAST_RESORT_LEFT_IDLE if is_idle else LAST_RESORT_LEFT
             bound = max(bound, left * call.remaining(now))
-        if self.judgement.takes(call, now) > bound:
+        if self.timing.takes(call, now) > bound:
             return False
         self._start(ticket, now)
         return True
 
     def latest_start(self, call: Call, now: float) -> float:
         """The moment until which a request may wait."""
-        return self.judgement.latest_start(call, now)
+        return self.timing.latest_start(call, now)
 
     def evicted(self) -> list[Ticket]:
         """Tickets pushed out of a full queue since the last call."""
@@ -296,7 +296,7 @@
         waits_for_turn = self.cold.wait(0, now) > 0
         if self.in_flight + self.queued < self.limit.value and not waits_for_turn:
             return False  # it waits for a slow stretch to end, not for others
-        return now + wait + self.judgement.at_pace(call, now) > call.target
+        return now + wait + self.timing.at_pace(call, now) > call.target
 
     def _falls_behind(self, ticket: Ticket, now: float) -> bool:
         """Put a ticket that will miss its target behind all that may meet theirs.
@@ -306,7 +306,7 @@
         call = ticket.call
         if ticket.late or not self.queued:
             return False
-        if now + self.judgement.takes(call, now) <= call.target:
+        if now + self.timing.takes(call, now) <= call.target:
             return False
         ticket.late = True
         self._line.push(ticket)
@@ -325,5 +325,5 @@
 
     def _start(self, ticket: Ticket, now: float) -> None:
         self.cold.on_start(now)
-        self.judgement.on_start(ticket, now)
+        self.timing.on_start(ticket, now)
         self._running.add(ticket)
--- a/packages/wheatslip/wheatslip/admission/judgement.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Judgement:
+class ServiceTiming:
     """What is known of one backend server's speed. Times in seconds."""
 
     limit: ConcurrencyLimit
