--- a/packages/wheatslip/wheatslip/admission/__init__.py
+++ b/packages/wheatslip/wheatslip/admission/__init__.py
@@ -3,7 +3,7 @@
 - `admission`: the rules by which a request starts, waits or is refused
 - `closures`: why a gate is closed
 - `timing`: how long requests take, and how long they may wait
-- `line`: the waiting requests, in the order in which they start
+- `gatequeue`: the waiting requests, in the order in which they start
 - `coldturns`: how many requests may start at a cold server
 - `ticket`: a request at the gate
 """
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -24,7 +24,7 @@
 
 from wheatslip.admission.closures import Closures
 from wheatslip.admission.coldturns import ColdTurns
-from wheatslip.admission.line import WaitingLine
+from wheatslip.admission.gatequeue import GateQueue
 from wheatslip.admission.ticket import (
     AdmissionSettings,
     Ticket,
@@ -56,13 +56,13 @@
     closures: Closures = field(init=False, default_factory=Closures)
     last_finished: float = float("-inf")
     cold: ColdTurns = field(init=False, default_factory=ColdTurns)
-    _line: WaitingLine = field(init=False)
+    _queue: GateQueue = field(init=False)
     _running: set[Ticket] = field(init=False, default_factory=set)
     _was_full: bool = field(init=False, default=False)  # someone had to wait or go away
 
     def __post_init__(self) -> None:
         self.timing = ServiceTiming(ConcurrencyLimit(self.settings.slots))
-        self._line = WaitingLine(self.settings.urgent_share)
+        self._queue = GateQueue(self.settings.urgent_share)
 
     @property
     def limit(self) -> ConcurrencyLimit:
@@ -100,18 +100,18 @@
     @property
     def queued(self) -> int:
         """Requests that wait here."""
-        return len(self._line)
+        return len(self._queue)
 
     def set_shares(self, shares: dict[str, float]) -> None:
         """Weights of the workspaces, by name; one that is missing has weight 1."""
-        self._line.set_shares(shares)
+        self._queue.set_shares(shares)
 
     def resize(self, settings: AdmissionSettings) -> None:
         """Take new bounds; what waits or runs stays."""
         if settings.slots != self.settings.slots:
             self.timing.limit = ConcurrencyLimit(settings.slots)
         self.settings = settings
-        self._line.set_urgent_share(settings.urgent_share)
+        self._queue.set_urgent_share(settings.urgent_share)
 
     def learn_speed(self, slowness: float, now: float) -> None:
         """The backend server told how long work takes there, as a part of the usual."""
@@ -153,7 +153,7 @@
         if has_slot and not self.queued:
             return self.cold.wait(0, now)
         urgent = call.call_class is CallClass.URGENT
-        ahead = self._line.ahead_of(call.workspace, urgent=urgent)
+        ahead = self._queue.ahead_of(call.workspace, urgent=urgent)
         for_slot = (ahead + 1) / self.limit.value * self.service_estimate(now)
         return max(for_slot, self.cold.wait(ahead, now))
 
@@ -224,26 +224,26 @@
             return []
         found = [
             ticket
-            for ticket in self._line
+            for ticket in self._queue
             if ticket.max_wait < ANY_WAIT
             and self.timing.is_better_elsewhere(ticket.call, ticket.max_wait, now)
         ]
         for ticket in found:
-            self._line.remove(ticket)
+            self._queue.remove(ticket)
         return found
 
     def withdraw(self, ticket: Ticket) -> bool:
         """Take a waiting ticket out of the queue; False if it does not wait."""
         if ticket.started is not None:
             return False
-        return self._line.remove(ticket)
+        return self._queue.remove(ticket)
 
     def admit(self, now: float) -> list[Ticket]:
         """Start waiting requests while there is room."""
         started = []
         passed_over = []
         while self._has_room(now):
-            ticket = self._line.pop()
+            ticket = self._queue.pop()
             if ticket is None:
                 break
             if self.timing.waits_out(ticket.call, now):
@@ -252,7 +252,7 @@
                 self._start(ticket, now)
                 started.append(ticket)
         for ticket in passed_over:
-            self._line.push(ticket)
+            self._queue.push(ticket)
         return started
 
     def expire(self, ticket: Ticket, now: float) -> bool:
@@ -261,7 +261,7 @@
         If not it leaves the queue. A server that is slow now still starts what comes not much
         too late by it; for anything else a refusal in time is better.
         """
-        self._line.remove(ticket)
+        self._queue.remove(ticket)
         if not self._has_room(now) or self.closures.holding:
             return False
         call = ticket.call
@@ -282,7 +282,7 @@
 
     def evicted(self) -> list[Ticket]:
         """Tickets pushed out of a full queue since the last call."""
-        return self._line.take_evicted()
+        return self._queue.take_evicted()
 
     def _misses_target(self, call: Call, wait: float, now: float) -> bool:
         """Whether a call that has to wait will miss its target, by the queue that is known.
@@ -309,14 +309,14 @@
         if now + self.timing.takes(call, now) <= call.target:
             return False
         ticket.late = True
-        self._line.push(ticket)
+        self._queue.push(ticket)
         return True
 
     def _enqueue(self, ticket: Ticket, wait: float) -> Ticket | NotRun:
-        is_full = len(self._line) >= self.settings.queue
-        if is_full and not self._line.make_room(ticket):
+        is_full = len(self._queue) >= self.settings.queue
+        if is_full and not self._queue.make_room(ticket):
             return overloaded(wait)
-        self._line.push(ticket)
+        self._queue.push(ticket)
         return ticket
 
     def _has_room(self, now: float) -> bool:
--- a/packages/wheatslip/wheatslip/admission/line.py
+++ b/packages/wheatslip/wheatslip/admission/gatequeue.py
@@ -1,7 +1,8 @@
-"""Who waits at one gate, and in which order they go.
+"""The queue of one gate: which requests wait, and in which order they start.
 
-Within a workspace the one that is needed first goes first; what will miss its target goes
-behind all that may meet theirs.
+Between workspaces it is fair by their weights (`FairQueue`). Within a workspace the request
+that is needed first starts first; one that will miss its target starts after all that may meet
+theirs.
 """
 
 from collections.abc import Iterator
@@ -10,11 +11,13 @@
 from wheatslip.call import CallClass
 from wheatslip.fairqueue import FairQueue
 
-LATE = 1e9  # seconds; puts what is late behind what is not, and in order among itself
+# Seconds; added to the order of a late request, so that it comes after all that are not late.
+# Larger than any monotonic clock's time; late requests keep their order among themselves.
+LATE = 1e9
 
 
-class WaitingLine:
-    """The waiting tickets."""
+class GateQueue:
+    """The waiting tickets, by workspace and by the time at which they are needed."""
 
     def __init__(self, urgent_share: float):
         """`urgent_share` bounds urgent starts, as a part of all, while others wait."""
@@ -35,14 +38,14 @@
         self._queue.urgent_share = urgent_share
 
     def push(self, ticket: Ticket) -> None:
-        """Queue a ticket by the time it is needed, what is late behind the rest."""
+        """Add a ticket, ordered by the time it is needed; a late one comes after the others."""
         call = ticket.call
         order = LATE + call.deadline if ticket.late else min(call.deadline, call.target)
         urgent = call.call_class is CallClass.URGENT
         self._queue.push(call.workspace, order, ticket, urgent=urgent)
 
     def pop(self) -> Ticket | None:
-        """The ticket that goes next, None if none waits."""
+        """Take the ticket that starts next; None if none waits."""
         return self._queue.pop()
 
     def remove(self, ticket: Ticket) -> bool:
@@ -50,12 +53,13 @@
         return self._queue.remove(ticket.call.workspace, ticket)
 
     def ahead_of(self, ticket_workspace: str, *, urgent: bool) -> int:
-        """How many tickets would go before a new one of a workspace, about."""
+        """About how many tickets would start before a new one of a workspace."""
         return self._queue.ahead_of(ticket_workspace, urgent=urgent)
 
     def make_room(self, ticket: Ticket) -> bool:
-        """Evict who waits with most for its share, so that `ticket` has room; False if that
-        would be its own workspace, or if it is urgent: then it has no place to take.
+        """Evict a ticket of the workspace that has most waiting for its share, so that `ticket`
+        has room; False if that is its own workspace, or if it is urgent: urgent tickets are not
+        in a workspace's queue, so there is no place to take.
         """
         if ticket.call.call_class is CallClass.URGENT:
             return False
