--- a/packages/wheatslip/wheatslip/admission/__init__.py
+++ b/packages/wheatslip/wheatslip/admission/__init__.py
@@ -4,13 +4,13 @@
 - `closures`: why a gate is closed
 - `timing`: how long requests take, and how long they may wait
 - `gatequeue`: the waiting requests, in the order in which they start
-- `coldturns`: how many requests may start at a cold server
+- `coldstart`: how many requests may start at a cold server
 - `ticket`: a request at the gate
 """
 
 from wheatslip.admission.admission import REFUSAL_LOSS, Admission
 from wheatslip.admission.closures import ClosedBy
-from wheatslip.admission.coldturns import ColdRate, ColdTurns, cold_rate
+from wheatslip.admission.coldstart import ColdRate, ColdStarts, cold_rate
 from wheatslip.admission.ticket import (
     AdmissionSettings,
     Ticket,
@@ -22,7 +22,7 @@
     "AdmissionSettings",
     "ClosedBy",
     "ColdRate",
-    "ColdTurns",
+    "ColdStarts",
     "Ticket",
     "cold_rate",
 ]
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -23,7 +23,7 @@
 from math import ceil
 
 from wheatslip.admission.closures import Closures
-from wheatslip.admission.coldturns import ColdTurns
+from wheatslip.admission.coldstart import ColdStarts
 from wheatslip.admission.gatequeue import GateQueue
 from wheatslip.admission.ticket import (
     AdmissionSettings,
@@ -55,7 +55,7 @@
     timing: ServiceTiming = field(init=False)
     closures: Closures = field(init=False, default_factory=Closures)
     last_finished: float = float("-inf")
-    cold: ColdTurns = field(init=False, default_factory=ColdTurns)
+    cold: ColdStarts = field(init=False, default_factory=ColdStarts)
     _queue: GateQueue = field(init=False)
     _running: set[Ticket] = field(init=False, default_factory=set)
     _was_full: bool = field(init=False, default=False)  # someone had to wait or go away
@@ -157,9 +157,9 @@
         for_slot = (ahead + 1) / self.limit.value * self.service_estimate(now)
         return max(for_slot, self.cold.wait(ahead, now))
 
-    def turn_wait(self, now: float) -> float | None:
-        """Seconds until one that waits may start, if it waits for nothing but a turn at a cold
-        server.
+    def cold_start_wait(self, now: float) -> float | None:
+        """Seconds until a waiting request may start, if it waits only because the server is
+        cold.
         """
         if not self.queued or self.in_flight >= self.limit.value:
             return None
@@ -293,15 +293,15 @@
         """
         if call.hold_until == ANY_WAIT or call.target == ANY_WAIT:
             return False
-        waits_for_turn = self.cold.wait(0, now) > 0
-        if self.in_flight + self.queued < self.limit.value and not waits_for_turn:
+        waits_for_cold_start = self.cold.wait(0, now) > 0
+        if self.in_flight + self.queued < self.limit.value and not waits_for_cold_start:
             return False  # it waits for a slow stretch to end, not for others
         return now + wait + self.timing.at_pace(call, now) > call.target
 
     def _falls_behind(self, ticket: Ticket, now: float) -> bool:
         """Put a ticket that will miss its target behind all that may meet theirs.
 
-        It keeps its turn if it is there already, or if no one else waits.
+        It keeps its place if it is there already, or if no one else waits.
         """
         call = ticket.call
         if ticket.late or not self.queued:
@@ -320,7 +320,7 @@
         return ticket
 
     def _has_room(self, now: float) -> bool:
-        """Whether one more may start: there is a slot, and a turn if the server is cold."""
+        """Whether one more may start: there is a slot, and a cold server bears it."""
         return self.in_flight < self.limit.value and self.cold.wait(0, now) <= 0
 
     def _start(self, ticket: Ticket, now: float) -> None:
--- a/packages/wheatslip/wheatslip/admission/coldturns.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -1,28 +1,38 @@
-"""The turns of a cold backend server: how many requests may start there in any second.
+"""How many requests may start at a cold backend server in any second.
 
-Load pattern: a server that has just started bears few requests a second; well above that it
-falls over, comes back cold, and falls over again for as long as its callers press as before.
-Only the gate can hold the rate, as it is the only way to the server.
+Load pattern: a server that has just started bears few requests a second. Well above that it
+fails, comes back cold, and fails again for as long as its callers press as before. The gate is
+the only way to the server, so the gate holds the rate.
 
-The bound holds for any second, wherever it begins. Starts are spaced evenly, with a small burst
-on top, so that a daemon which is restarted in that second, and knows nothing of the starts
-before, stays below the bound too: it needs a third of a second to start again.
+The rules, in the order in which they are met:
+
+| rule | then |
+|---|---|
+| the pool has no bound, or the server is not cold | a request may start at once |
+| as many as the rate and the burst allow have started within the last second | it waits until \
+the first of them is a second old |
+| the starts are ahead of their even spacing by more than the burst | it waits for its place |
+
+The bound holds for any second, wherever it begins. Starts are spaced evenly with a small burst
+on top, so that a daemon which restarts within that second, and does not know the starts before,
+stays below the bound too: it needs a third of a second to start again.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-WINDOW = 1.0  # seconds
-# Part of the slack that is used for a burst. The rest is left for what is on its way: of starts
-# that a new connection held up, a quarter of a second's arrive together (`connect-timeout`).
+WINDOW = 1.0  # seconds; the platform bounds a cold server by the second
+# Part of the pool's slack that is used for a burst. More leaves no room for starts that a new
+# connection holds up: a quarter of a second's may reach the server together
+# (`connect-timeout`). Less leaves slots idle. 0.9 was measured: 19 of 20 allowed in one second.
 BURST_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ColdRate:
-    """What a cold server gets: `per_second` evenly spaced, and `burst` at once.
+    """What a cold server gets: `per_second` starts evenly spaced, and `burst` at once.
 
-    `seconds` is how long a server stays cold whose own word on it is not known.
+    `seconds` is how long a server counts as cold that has not reported how long it is.
     """
 
     seconds: float
@@ -48,14 +58,14 @@
 
 
 @dataclass(slots=True)
-class ColdTurns:
-    """Whether one server is cold, and its turns. Times in seconds, monotonic."""
+class ColdStarts:
+    """Whether one server is cold, and when a request may start. Times in seconds, monotonic."""
 
     rate: ColdRate | None = None  # None: its pool has no bound
-    _told_until: float = float("-inf")
+    _reported_until: float = float("-inf")
     _assumed_until: float = float("-inf")
     _next_free: float = float("-inf")  # when the next evenly spaced start is due
-    # The latest starts, warm ones too: what came before coldness was known counts as well.
+    # The latest starts, also those while it was warm: they may lie within the same second.
     _starts: deque[float] = field(default_factory=deque)
 
     def bound(self, rate: ColdRate | None) -> None:
@@ -63,39 +73,39 @@
         self.rate = rate
         self._starts = deque(self._starts, maxlen=rate.in_any_second if rate else 0)
 
-    def told(self, remaining: float, now: float) -> None:
-        """The server said that it stays cold for so long.
+    def reported(self, remaining: float, now: float) -> None:
+        """The server reports that it stays cold for `remaining` seconds.
 
-        A word that it is warm takes nothing back: it may be older than the one before, which
-        runs out by itself.
+        A report of 0 does not end an earlier one: it may be older, and the earlier one runs
+        out by itself.
         """
         if remaining > 0:
-            self._told_until = max(self._told_until, now + remaining)
+            self._reported_until = max(self._reported_until, now + remaining)
 
     def assume(self, now: float) -> None:
-        """The server may have turned cold unheard: it counts as cold until it is asked."""
+        """The server may have turned cold without a report: it counts as cold until probed."""
         if self.rate is not None:
             self._assumed_until = now + self.rate.seconds
 
-    def asked(self) -> None:
-        """The server was asked, and told what there is: nothing needs to be assumed."""
+    def probed(self) -> None:
+        """The server answered a probe, so nothing needs to be assumed."""
         self._assumed_until = float("-inf")
 
     def replaced(self) -> None:
-        """Another server stands here: what was told goes with the one before."""
-        self._told_until = float("-inf")
+        """Another server has come: reports of the one before don't count."""
+        self._reported_until = float("-inf")
         self._assumed_until = float("-inf")
 
     def is_cold(self, now: float) -> bool:
         """Whether the bound applies."""
-        return self.rate is not None and now < max(self._told_until, self._assumed_until)
+        return self.rate is not None and now < max(self._reported_until, self._assumed_until)
 
     def is_assumed(self, now: float) -> bool:
-        """Whether the server counts as cold only until it is asked."""
+        """Whether the server counts as cold until it is probed."""
         return self.rate is not None and now < self._assumed_until
 
     def wait(self, ahead: int, now: float) -> float:
-        """Seconds until a request may start that lets `ahead` others go first."""
+        """Seconds until a request may start that has `ahead` others before it."""
         rate = self.rate
         if rate is None or not self.is_cold(now):
             return 0.0
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -1,4 +1,4 @@
-"""The task around an `Admission`: lets requests wait for their turn at the backend server."""
+"""The task around an `Admission`: lets requests wait for their start at the backend server."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -60,10 +60,10 @@
         self._lost_in_a_row = 0
         self.load_seen = float("-inf")  # when it last told of its load
         self._waiting: dict[Ticket, asyncio.Future[NotRun | None]] = {}
-        self._next_turn: asyncio.TimerHandle | None = None  # of a cold server
+        self._next_cold_start: asyncio.TimerHandle | None = None  # of a cold server
 
     async def enter(self, call: Call, max_wait: float) -> Ticket | NotRun:
-        """Wait for a turn; the ticket that comes back has started and must be left with."""
+        """Wait for the start; the ticket that comes back has started and must be left with."""
         now = self._clock()
         probing = self._probing
         if probing and self.admission.gain_of_asking(call, now) > probing.price:
@@ -135,13 +135,13 @@
         """The backend server was asked, and stays cold for so many seconds."""
         now = self._clock()
         was_cold = self.admission.cold.is_cold(now)
-        self.admission.cold.asked()
-        self.admission.cold.told(remaining, now)
+        self.admission.cold.probed()
+        self.admission.cold.reported(remaining, now)
         is_cold = self.admission.cold.is_cold(now)
         if is_cold and not was_cold:
             logs.info("backend-cold", remaining=round(remaining, 3))
         if was_cold and not is_cold:
-            self._wake(self.admission.admit(now))  # who waits for turns needs none any more
+            self._wake(self.admission.admit(now))  # a warm server bears more of those that wait
 
     def learn(self, load: BackendLoad) -> None:
         """The backend server told of its load."""
@@ -251,7 +251,7 @@
     async def _wait(self, ticket: Ticket, now: float) -> Ticket | NotRun:
         future: asyncio.Future[NotRun | None] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
-        self._plan_turn()
+        self._plan_cold_start()
         patience = self.admission.latest_start(ticket.call, now) - now
         try:
             async with asyncio.timeout(max(0.0, patience)):
@@ -295,18 +295,18 @@
     def _wake(self, started: list[Ticket]) -> None:
         for ticket in started:
             self._tell(ticket, None)
-        self._plan_turn()
+        self._plan_cold_start()
 
-    def _plan_turn(self) -> None:
-        """Wake up for the next turn at a cold server, if someone waits for it."""
-        wait = self.admission.turn_wait(self._clock())
-        if wait is None or self._next_turn is not None:
+    def _plan_cold_start(self) -> None:
+        """Set a timer for the next start at a cold server, if a request waits for it."""
+        wait = self.admission.cold_start_wait(self._clock())
+        if wait is None or self._next_cold_start is not None:
             return
         loop = asyncio.get_running_loop()
-        self._next_turn = loop.call_later(wait, self._take_turn)
+        self._next_cold_start = loop.call_later(wait, self._admit_cold_start)
 
-    def _take_turn(self) -> None:
-        self._next_turn = None
+    def _admit_cold_start(self) -> None:
+        self._next_cold_start = None
         self._wake(self.admission.admit(self._clock()))
 
     def _tell_evicted(self) -> None:
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -116,7 +116,7 @@
         """The registered server is there, and told when it will be warm."""
         now = self._clock()
         if registered.warm_at is not None:
-            self._gate.admission.cold.told(registered.warm_at - now, now)
+            self._gate.admission.cold.reported(registered.warm_at - now, now)
         if not registered.draining:
             self._gate.server_stays()
 
@@ -138,7 +138,7 @@
         if registered.warm_at is None:
             cold.assume(now)
         else:
-            cold.told(registered.warm_at - now, now)
+            cold.reported(registered.warm_at - now, now)
 
     def publish(self, entry_port: int, peer_port: int, control_port: int) -> None:
         """Let the list show this daemon as it is now."""
--- a/test/test_coldturns.py
+++ b/test/test_coldturns.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wheatslip.admission import Admission, AdmissionSettings, ColdTurns, cold_rate
+from wheatslip.admission import Admission, AdmissionSettings, ColdStarts, cold_rate
 from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslipd.controllers.view import View
@@ -43,7 +43,7 @@
     taught = admission.arrive(call(-100.0), -100.0)
     admission.finish(taught, -100.0 + service, worked=True)
     admission.cold.bound(RATE)
-    admission.cold.told(told, 0.0)
+    admission.cold.reported(told, 0.0)
     return admission
 
 
@@ -93,12 +93,12 @@
 
 
 def test_starts_before_the_coldness_was_known_count_too():
-    turns = ColdTurns()
-    turns.bound(RATE)
+    starts = ColdStarts()
+    starts.bound(RATE)
     for number in range(30):
-        turns.on_start(0.5 + number * 0.01)  # it was warm, as far as was known
-    turns.told(3.0, 0.8)
-    assert turns.wait(0, 0.8) > 0.6
+        starts.on_start(0.5 + number * 0.01)  # it was warm, as far as was known
+    starts.reported(3.0, 0.8)
+    assert starts.wait(0, 0.8) > 0.6
 
 
 @settings(max_examples=200, deadline=None)
@@ -109,50 +109,50 @@
     )
 )
 def test_the_bound_holds_whatever_is_heard_in_whichever_order(steps):
-    turns = ColdTurns()
-    turns.bound(RATE)
+    starts = ColdStarts()
+    starts.bound(RATE)
     now = 0.0
     cold_starts = []
     for pause, what in steps:
         now += pause
         match what:
-            case "start" if turns.wait(0, now) <= 0:
-                turns.on_start(now)
-                if turns.is_cold(now):
+            case "start" if starts.wait(0, now) <= 0:
+                starts.on_start(now)
+                if starts.is_cold(now):
                     cold_starts.append(now)
             case "told":
-                turns.told(3.0, now)
+                starts.reported(3.0, now)
             case "asked":
-                turns.asked()
+                starts.probed()
             case "assume":
-                turns.assume(now)
+                starts.assume(now)
     assert most_in_any_second(cold_starts) <= RATE.in_any_second < BOUND
 
 
 def test_an_older_word_of_warmth_takes_coldness_not_back():
-    turns = ColdTurns()
-    turns.bound(RATE)
-    turns.told(3.0, 1.0)
-    turns.told(0.0, 1.1)
-    turns.asked()
-    assert turns.is_cold(3.9) and not turns.is_cold(4.1)
+    starts = ColdStarts()
+    starts.bound(RATE)
+    starts.reported(3.0, 1.0)
+    starts.reported(0.0, 1.1)
+    starts.probed()
+    assert starts.is_cold(3.9) and not starts.is_cold(4.1)
 
 
 def test_what_is_only_assumed_ends_with_the_servers_answer():
-    turns = ColdTurns()
-    turns.bound(RATE)
-    turns.assume(1.0)
-    assert turns.is_cold(1.1)
-    turns.asked()
-    assert not turns.is_cold(1.1)
+    starts = ColdStarts()
+    starts.bound(RATE)
+    starts.assume(1.0)
+    assert starts.is_cold(1.1)
+    starts.probed()
+    assert not starts.is_cold(1.1)
 
 
 def test_a_server_without_a_rate_has_no_bound():
-    turns = ColdTurns()
-    turns.told(3.0, 0.0)
+    starts = ColdStarts()
+    starts.reported(3.0, 0.0)
     for number in range(100):
-        assert turns.wait(0, number * 0.001) == 0
-        turns.on_start(number * 0.001)
+        assert starts.wait(0, number * 0.001) == 0
+        starts.on_start(number * 0.001)
 
 
 def test_who_waits_for_a_turn_starts_with_it_and_the_urgent_go_first():
@@ -161,11 +161,11 @@
         continue
     waiting = found
     urgent = admission.arrive(call(kind=URGENT), 0.0)
-    wait = admission.turn_wait(0.0)
+    wait = admission.cold_start_wait(0.0)
     assert 0 < wait <= RATE.spacing
     assert admission.admit(wait / 2) == []
     assert admission.admit(wait + 1e-9) == [urgent]
-    later = admission.turn_wait(wait + 1e-9)
+    later = admission.cold_start_wait(wait + 1e-9)
     assert admission.admit(wait + later + 1e-8) == [waiting]
 
 
@@ -196,7 +196,7 @@
     """
     admission = Admission(AdmissionSettings(slots=4))
     admission.cold.bound(rate)
-    admission.cold.told(3.0, 0.0)
+    admission.cold.reported(3.0, 0.0)
     cold_until = 3.0
     back_at = 0.0
     running = []
@@ -226,7 +226,7 @@
             for ticket in lost:
                 running += admission.finish(ticket, now, worked=False)
             starts.clear()
-            admission.cold.told(cold_until - now, now)
+            admission.cold.reported(cold_until - now, now)
         now = round(now + 0.005, 3)
     return falls, answered
 
