--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -10,7 +10,7 @@
 | the gate is closed | refused, as the table in `closures` says |
 | the deadline has passed | refused |
 | the server is slow now, and the sender has others to try | refused, goes elsewhere |
-| there is a free slot, no one waits, no slow stretch is waited out, and a cold server has a \
+| there is a free slot, no one waits, no slow spell is waited out, and a cold server has a \
 turn for it | starts |
 | the expected wait is beyond the sender's bound, or the deadline | refused |
 | the queue alone makes it miss its target | refused |
@@ -71,7 +71,7 @@
 
     @property
     def speed(self) -> SpeedModel:
-        """What is known of the server's slow stretches."""
+        """What is known of the server's slow spells."""
         return self.timing.speed
 
     @property
@@ -121,7 +121,7 @@
         """Another backend server stands here: how fast it is, is not known until it tells."""
         self.timing.forget_speed()
 
-    def gain_of_asking(self, call: Call, now: float) -> float:
+    def gain_of_probing(self, call: Call, now: float) -> float:
         """What is saved on average if the server is asked for its speed before `call` starts,
         as a part of what an answer within the target is worth.
 
@@ -133,11 +133,11 @@
         if self.queued or not self._has_room(now):
             return 0.0  # it waits, and starts when an answer has told the speed anew
         left = min(call.target, call.deadline) - now
-        at_pace = self.timing.at_pace(call, now)
-        if at_pace > left or at_pace * self.speed.factor <= left:
+        base_time = self.timing.base_time(call, now)
+        if base_time > left or base_time * self.speed.slow_factor <= left:
             return 0.0
         slow = self.speed.slow_chance(now)
-        return (1.0 - slow) * REFUSAL_LOSS if self.timing.in_slow_stretch else slow
+        return (1.0 - slow) * REFUSAL_LOSS if self.timing.in_slow_spell else slow
 
     def service_estimate(self, now: float) -> float:
         """Seconds one request takes now."""
@@ -271,7 +271,7 @@
             is_idle = 2 * self.in_flight <= self.limit.value
             left = LAST_RESORT_LEFT_IDLE if is_idle else LAST_RESORT_LEFT
             bound = max(bound, left * call.remaining(now))
-        if self.timing.takes(call, now) > bound:
+        if self.timing.present_time(call, now) > bound:
             return False
         self._start(ticket, now)
         return True
@@ -295,8 +295,8 @@
             return False
         waits_for_cold_start = self.cold.wait(0, now) > 0
         if self.in_flight + self.queued < self.limit.value and not waits_for_cold_start:
-            return False  # it waits for a slow stretch to end, not for others
-        return now + wait + self.timing.at_pace(call, now) > call.target
+            return False  # it waits for a slow spell to end, not for others
+        return now + wait + self.timing.base_time(call, now) > call.target
 
     def _falls_behind(self, ticket: Ticket, now: float) -> bool:
         """Put a ticket that will miss its target behind all that may meet theirs.
@@ -306,7 +306,7 @@
         call = ticket.call
         if ticket.late or not self.queued:
             return False
-        if now + self.timing.takes(call, now) <= call.target:
+        if now + self.timing.present_time(call, now) <= call.target:
             return False
         ticket.late = True
         self._queue.push(ticket)
--- a/packages/wheatslip/wheatslip/admission/timing.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -36,7 +36,7 @@
         """The backend server told how long work takes there, as a part of the usual."""
         self.slowness = slowness
         self.is_speed_known = True
-        self.speed.told(slowness, now)
+        self.speed.reported(slowness, now)
 
     def forget_speed(self) -> None:
         """Another backend server stands here: how fast it is, is not known until it tells."""
@@ -69,9 +69,9 @@
         return True
 
     @property
-    def in_slow_stretch(self) -> bool:
-        """Whether the server is slower than its pace, so that it will be faster soon."""
-        return self.slowness >= SLOW * self.speed.pace
+    def in_slow_spell(self) -> bool:
+        """Whether the server is slower than usual for it, so that it will be faster soon."""
+        return self.slowness >= SLOW * self.speed.base_slowness
 
     def service_estimate(self, now: float) -> float:
         """Seconds one request takes now."""
@@ -89,21 +89,23 @@
         mean_age = now - self._started_sum / self._running
         return mean_age if mean_age > OLD_AGE * estimate * max(1.0, self.slowness) else estimate
 
-    def at_pace(self, call: Call, now: float) -> float:
-        """Seconds that a call takes outside the server's slow stretches."""
-        return self._usual_service_of(call, now) * self.speed.pace
+    def base_time(self, call: Call, now: float) -> float:
+        """Seconds that a call takes outside the server's slow spells."""
+        return self._usual_service_of(call, now) * self.speed.base_slowness
 
-    def takes(self, call: Call, now: float) -> float:
+    def present_time(self, call: Call, now: float) -> float:
         """Seconds that a call takes if it starts now."""
         return self._usual_service_of(call, now) * self.slowness
 
     def waits_out(self, call: Call, now: float) -> bool:
-        """Whether a call should wait until a slow stretch of the server is over: started now
+        """Whether a call should wait until a slow spell of the server is over: started now
         it would miss its target, and it would hold a slot for long.
         """
-        if not self.in_slow_stretch or call.target == ANY_WAIT:
+        if not self.in_slow_spell or call.target == ANY_WAIT:
             return False
-        return now + self.at_pace(call, now) <= call.target < now + self.takes(call, now)
+        if now + self.base_time(call, now) > call.target:
+            return False
+        return call.target < now + self.present_time(call, now)
 
     def is_better_elsewhere(self, call: Call, max_wait: float, now: float) -> bool:
         """Whether the server is so slow now that another one should take the call."""
@@ -113,20 +115,20 @@
             return (self.slowness - 1.0) * self._usual_service_of(call, now) > max_wait
         # Slow or not, an answer within the target is as good as any. The estimate may be
         # off, and going elsewhere has its price, so a close miss is risked.
-        return self.takes(call, now) > CLOSE_MISS * (call.target - now)
+        return self.present_time(call, now) > CLOSE_MISS * (call.target - now)
 
     def is_too_late(self, call: Call, wait: float, now: float) -> bool:
         """Whether a call that starts after `wait` seconds will miss its deadline."""
-        return call.remaining(now) < wait + self.takes(call, now)
+        return call.remaining(now) < wait + self.present_time(call, now)
 
     def latest_start(self, call: Call, now: float) -> float:
         """The moment until which a request may wait: then it can't meet its deadline any more,
         or it misses its target even on a fast server, and its caller rather hears a refusal.
         """
-        needed = min(self.takes(call, now), call.remaining(now) / 2)
+        needed = min(self.present_time(call, now), call.remaining(now) / 2)
         latest = min(call.deadline - needed, call.hold_until)
         if call.hold_until < ANY_WAIT:
-            latest = min(latest, call.target - self.at_pace(call, now))
+            latest = min(latest, call.target - self.base_time(call, now))
         return latest
 
     def _usual_service_of(self, call: Call, now: float) -> float:
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -66,7 +66,7 @@
         """Wait for the start; the ticket that comes back has started and must be left with."""
         now = self._clock()
         probing = self._probing
-        if probing and self.admission.gain_of_asking(call, now) > probing.price:
+        if probing and self.admission.gain_of_probing(call, now) > probing.price:
             await probing.probe(self)
             now = self._clock()
         ticket = self.admission.arrive(call, now, max_wait)
@@ -178,7 +178,7 @@
             or admission.queued
         ):
             return True
-        return self._clock() - self.load_seen >= admission.speed.slow_stretch
+        return self._clock() - self.load_seen >= admission.speed.mean_slow_spell
 
     def learn_nothing(self) -> None:
         """The backend server answered without a word on its load, so it may never tell."""
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -25,7 +25,7 @@
         while now >= ends:
             is_slow = not is_slow
             ends += rng.expovariate(1 / (slow if is_slow else fast))
-        model.told(factor if is_slow else 1.0, now)
+        model.reported(factor if is_slow else 1.0, now)
     return now
 
 
@@ -45,21 +45,21 @@
 def test_a_word_on_the_speed_ages_to_the_part_of_the_time_that_the_server_is_slow():
     model = SpeedModel()
     end = switching(model, fast=0.6, slow=0.2, factor=5.0)
-    model.told(1.0, end)
+    model.reported(1.0, end)
     assert model.slow_chance(end) == pytest.approx(0.0)
     assert model.slow_chance(end + 0.05) < model.slow_chance(end + 0.2) < 0.35
     assert model.slow_chance(end + 10.0) == pytest.approx(0.25, abs=0.08)
-    model.told(5.0, end)
+    model.reported(5.0, end)
     assert model.slow_chance(end) == pytest.approx(1.0)
-    assert model.slow_stretch == pytest.approx(0.2, rel=0.4)
-    assert model.factor == pytest.approx(5.0, rel=0.05)
+    assert model.mean_slow_spell == pytest.approx(0.2, rel=0.4)
+    assert model.slow_factor == pytest.approx(5.0, rel=0.05)
 
 
 def test_longer_stretches_make_a_word_good_for_longer():
     short, long = SpeedModel(), SpeedModel()
     ends = [switching(short, 0.6, 0.2, 4.0), switching(long, 2.4, 0.8, 4.0)]
     for model, end in zip((short, long), ends, strict=True):
-        model.told(1.0, end)
+        model.reported(1.0, end)
     chances = [m.slow_chance(end + 0.05) for m, end in zip((short, long), ends, strict=True)]
     assert chances[1] < 0.5 * chances[0]
 
@@ -67,7 +67,7 @@
 def test_a_server_that_never_turns_slow_is_soon_thought_to_stay_fast():
     model = SpeedModel()
     for tick in range(1, 600):
-        model.told(1.0, tick / 20)
+        model.reported(1.0, tick / 20)
     assert model.slow_chance(30.0 + 0.1) < 0.01
 
 
@@ -75,7 +75,7 @@
     model = SpeedModel()
     before = model.slow_chance(float("inf"))
     for second in range(100):
-        model.told(4.0 if second % 2 else 1.0, second * 10.0)
+        model.reported(4.0 if second % 2 else 1.0, second * 10.0)
     assert model.slow_chance(float("inf")) == pytest.approx(before)
 
 
@@ -89,15 +89,15 @@
     now = 0.0
     for gap, slowness in tellings:
         now += gap
-        model.told(slowness, now)
+        model.reported(slowness, now)
     assert 0.0 <= model.slow_chance(now + later) <= 1.0
-    assert model.slow_stretch > 0
+    assert model.mean_slow_spell > 0
 
 
 def test_asking_gains_with_the_age_of_the_last_word():
     admission = taught({VIEW: 0.2})
     admission.learn_speed(1.0, 1.0)
-    gains = [admission.gain_of_asking(call(now=now), now) for now in (1.0, 1.02, 1.2)]
+    gains = [admission.gain_of_probing(call(now=now), now) for now in (1.0, 1.02, 1.2)]
     assert gains[0] == 0.0
     assert 0.0 < gains[1] < gains[2] < 1.0
 
@@ -105,34 +105,34 @@
 def test_asking_gains_nothing_for_work_that_meets_its_target_on_a_slow_server_too():
     admission = taught({VIEW: 0.2, SHORT: 0.02})
     admission.learn_speed(1.0, 1.0)
-    assert admission.gain_of_asking(call(SHORT, now=1.5), 1.5) == 0.0
-    assert admission.gain_of_asking(call(VIEW, now=1.5), 1.5) > 0.0
+    assert admission.gain_of_probing(call(SHORT, now=1.5), 1.5) == 0.0
+    assert admission.gain_of_probing(call(VIEW, now=1.5), 1.5) > 0.0
 
 
 def test_asking_gains_nothing_for_work_that_is_late_anyway():
     admission = taught({VIEW: 0.2})
     admission.learn_speed(1.0, 1.0)
-    assert admission.gain_of_asking(call(target=0.1, now=1.5), 1.5) == 0.0
+    assert admission.gain_of_probing(call(target=0.1, now=1.5), 1.5) == 0.0
 
 
 def test_asking_gains_nothing_for_what_has_to_wait_or_to_go():
     admission = taught({VIEW: 0.2})
     admission.learn_speed(1.0, 0.5)
     running = [admission.arrive(call(now=0.9), 0.9) for _ in range(4)]
-    assert admission.gain_of_asking(call(now=1.0), 1.0) == 0.0
+    assert admission.gain_of_probing(call(now=1.0), 1.0) == 0.0
     admission.finish(running[0], 1.0, worked=False)
-    assert admission.gain_of_asking(call(now=1.0), 1.0) > 0.0
+    assert admission.gain_of_probing(call(now=1.0), 1.0) > 0.0
     for reason in (ClosedBy.SERVER_LEAVES, ClosedBy.SERVER_LOST, ClosedBy.SERVER_UNKNOWN):
         admission.closures.add(reason)
-        assert admission.gain_of_asking(call(now=1.0), 1.0) == 0.0
+        assert admission.gain_of_probing(call(now=1.0), 1.0) == 0.0
         admission.closures.remove(reason)
 
 
 def test_asking_a_server_told_slow_gains_at_most_what_a_refusal_costs():
     admission = taught({VIEW: 0.2})
     admission.learn_speed(5.0, 1.0)
-    assert admission.gain_of_asking(call(now=1.0), 1.0) == pytest.approx(0.0)
-    later = admission.gain_of_asking(call(now=1.5), 1.5)
+    assert admission.gain_of_probing(call(now=1.0), 1.0) == pytest.approx(0.0)
+    later = admission.gain_of_probing(call(now=1.5), 1.5)
     assert 0.0 < later <= REFUSAL_LOSS
 
 
@@ -140,9 +140,9 @@
     admission = taught({VIEW: 0.2})
     admission.learn_speed(1.0, 1.0)
     admission.forget_speed()
-    fresh = admission.gain_of_asking(call(now=1.01), 1.01)
+    fresh = admission.gain_of_probing(call(now=1.01), 1.01)
     admission.learn_speed(1.0, 1.0)
-    assert fresh > admission.gain_of_asking(call(now=1.01), 1.01)
+    assert fresh > admission.gain_of_probing(call(now=1.01), 1.01)
 
 
 @settings(derandomize=True)
@@ -161,12 +161,12 @@
 
 
 def test_a_server_that_stays_slow_has_a_slower_pace_and_is_not_waited_out():
-    """One that has just started works at half its speed, and has slow stretches besides."""
+    """One that has just started works at half its speed, and has slow spells besides."""
     admission = taught({VIEW: 0.2})
     for tick in range(20):
         admission.learn_speed(2.0, 1.0 + tick * 0.05)
     now = 2.0
-    assert admission.speed.pace == 2.0
+    assert admission.speed.base_slowness == 2.0
     late = call(target=0.3, now=now)  # it can't be in time at this pace, and waiting won't help
     assert admission.arrive(late, now).started is not None
     admission.learn_speed(10.0, now)
@@ -178,13 +178,13 @@
     admission = taught({VIEW: 0.2})
     for tick in range(20):
         admission.learn_speed(2.0, 1.0 + tick * 0.05)
-    assert admission.gain_of_asking(call(now=2.2), 2.2) > 0.05
+    assert admission.gain_of_probing(call(now=2.2), 2.2) > 0.05
 
 
 def test_a_pace_is_forgotten_once_the_server_is_faster():
     model = SpeedModel()
     for tick in range(20):
-        model.told(2.0, tick * 0.05)
-    assert model.pace == 2.0
-    model.told(1.0, 1.0)
-    assert model.pace == 1.0
+        model.reported(2.0, tick * 0.05)
+    assert model.base_slowness == 2.0
+    model.reported(1.0, 1.0)
+    assert model.base_slowness == 1.0
