--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -1,22 +1,32 @@
-"""Admission at one backend server: how many requests run, who waits, who is refused.
-
-Pure decision code: the caller passes the time in (seconds, monotonic) and carries out what
-is decided. One `Admission` is the only way to its backend server, so its count is exact.
-
-The rules, in the order in which an arrival meets them:
-
-| rule | outcome |
-|---|---|
-| the gate is closed | refused, as the table in `closures` says |
-| the deadline has passed | refused |
-| the server is slow now, and the sender has others to try | refused, goes elsewhere |
-| there is a free slot, no one waits, no slow spell is waited out, and a cold server has a \
-turn for it | starts |
-| the expected wait is beyond the sender's bound, or the deadline | refused |
-| the queue alone makes it miss its target | refused |
-| it may not be held | starts if its answer is not much too late, else refused |
-| the queue is full, and no other workspace waits with more | refused |
-| else | waits, by need; what will miss its target behind the rest |
+"""Admission at one backend server: which request starts, which waits, which is refused.
+
+Pure decision code: the caller passes the time in (seconds, monotonic) and carries out what is
+decided. One `Admission` is the only way to its backend server, so its count is exact.
+
+Load pattern: more requests come than the server has slots for, in waves, while its speed
+changes. What would be answered too late is refused at once, as long as it can be answered
+elsewhere or its caller can come back; what may be in time waits.
+
+The rules in the order in which an arrival meets them:
+
+| rule | outcome | decided by |
+|---|---|---|
+| the gate is closed | refused | `Closures` |
+| its deadline has passed | refused | `arrive` |
+| the server is slow, and the sender has others to try | refused, goes elsewhere | \
+`goes_elsewhere` |
+| there is room, no one waits, and no slow spell is to be waited out | starts | \
+`_starts_at_once` |
+| the expected wait is longer than the sender wants | refused | `arrive` |
+| it would miss its deadline after the wait | refused | `is_too_late` |
+| it would miss its target by the wait for others alone | refused | `_misses_target` |
+| it may not be held | starts if its answer is not much too late, else refused | \
+`_starts_late` |
+| the queue is full, and no other workspace waits with more | refused | `_enqueue` |
+| else | waits, until it starts or its latest start has passed | `admit`, `expire` |
+
+There is room if a slot is free and, of a cold server, a start (`ColdStarts`). A call that waits
+starts by its workspace's share and by need; one that will miss its target after the rest.
 """
 
 from dataclasses import dataclass, field
@@ -25,26 +35,14 @@
 from wheatslip.admission.closures import Closures
 from wheatslip.admission.coldstart import ColdStarts
 from wheatslip.admission.gatequeue import GateQueue
-from wheatslip.admission.ticket import (
-    AdmissionSettings,
-    Ticket,
-)
+from wheatslip.admission.slowserver import gain_of_probing, goes_elsewhere, waits_out
+from wheatslip.admission.ticket import AdmissionSettings, Ticket
 from wheatslip.admission.timing import ServiceTiming
 from wheatslip.call import ANY_WAIT, Call, CallClass
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.retryafter import overloaded
-from wheatslip.speed import SLOW, SpeedModel
-
-LAST_RESORT = 1.5  # part of the time to the target that a call may take which waited in vain
-LAST_RESORT_LEFT = 0.4  # part of the time to the deadline that it may take all the same
-# The same with half of the slots free: it keeps no one waiting, so it starts if it meets its
-# deadline, with room for the error of the estimate. A call that another request made fails that
-# one if it is refused. Worth of a day 0.736 -> 0.768, 0.789 -> 0.798 (13 servers, high load).
-LAST_RESORT_LEFT_IDLE = 0.8
-# What a needless refusal at a server that has become fast again costs, as a part of what an
-# answer within its target is worth: a try elsewhere, or a wait until the speed is asked for.
-REFUSAL_LOSS = 0.1
+from wheatslip.speed import SpeedModel
 
 
 @dataclass(slots=True)
@@ -85,7 +83,7 @@
 
     @property
     def is_speed_known(self) -> bool:
-        """Whether the slowness was told, where a server tells it."""
+        """Whether the slowness was reported, where servers report it."""
         return self.timing.is_speed_known
 
     @is_speed_known.setter
@@ -114,30 +112,22 @@
         self._queue.set_urgent_share(settings.urgent_share)
 
     def learn_speed(self, slowness: float, now: float) -> None:
-        """The backend server told how long work takes there, as a part of the usual."""
+        """The backend server reports its slowness."""
         self.timing.learn_speed(slowness, now)
 
     def forget_speed(self) -> None:
-        """Another backend server stands here: how fast it is, is not known until it tells."""
+        """Another backend server has come: its speed is not known until it reports."""
         self.timing.forget_speed()
 
     def gain_of_probing(self, call: Call, now: float) -> float:
-        """What is saved on average if the server is asked for its speed before `call` starts,
-        as a part of what an answer within the target is worth.
-
-        Only a call that could start now, and meets its target if the server is fast but misses
-        it if slow, gains: told fast it may be spared a slow start, told slow a refusal.
+        """What is saved on average if the server is probed before `call` starts, as a part of
+        what an answer within its target is worth; 0 if the call can't start now.
         """
         if self.closures.holding:
             return 0.0
         if self.queued or not self._has_room(now):
-            return 0.0  # it waits, and starts when an answer has told the speed anew
-        left = min(call.target, call.deadline) - now
-        base_time = self.timing.base_time(call, now)
-        if base_time > left or base_time * self.speed.slow_factor <= left:
-            return 0.0
-        slow = self.speed.slow_chance(now)
-        return (1.0 - slow) * REFUSAL_LOSS if self.timing.in_slow_spell else slow
+            return 0.0  # it waits, and starts when an answer has reported the speed anew
+        return gain_of_probing(self.timing, call, now)
 
     def service_estimate(self, now: float) -> float:
         """Seconds one request takes now."""
@@ -185,22 +175,19 @@
             return closed
         if call.remaining(now) <= 0:
             return NotRun(Reason.DEADLINE)
-        ticket = Ticket(call, now, max_wait=max_wait)
-        if max_wait < ANY_WAIT and self.timing.is_better_elsewhere(call, max_wait, now):
+        if goes_elsewhere(self.timing, call, max_wait, now):
             return overloaded(0.0)
-        has_room = self._has_room(now)
-        if has_room and not self.queued and not self.timing.waits_out(call, now):
-            self._start(ticket, now)
+        ticket = Ticket(call, now, max_wait=max_wait)
+        if self._starts_at_once(ticket, now):
             return ticket
-        self._was_full = self._was_full or not has_room
         wait = self.expected_wait(call, now)
         if wait > max_wait or self.timing.is_too_late(call, wait, now):
             return overloaded(wait)
         if self._misses_target(call, wait, now):
             return overloaded(wait)
         if call.hold_until <= now:
-            return ticket if self.expire(ticket, now) else overloaded(wait)
-        return self._enqueue(ticket, wait)
+            return ticket if self._starts_late(ticket, now) else overloaded(wait)
+        return ticket if self._enqueue(ticket) else overloaded(wait)
 
     def finish(self, ticket: Ticket, now: float, *, worked: bool) -> list[Ticket]:
         """A started request has ended. `worked`: its time tells of the server's speed.
@@ -218,15 +205,12 @@
             self._was_full = bool(self.queued)
         return self.admit(now)
 
-    def better_elsewhere(self, now: float) -> list[Ticket]:
+    def take_for_elsewhere(self, now: float) -> list[Ticket]:
         """Take out of the queue what another server should rather take, as this one is slow."""
-        if self.slowness < SLOW:
-            return []
         found = [
             ticket
             for ticket in self._queue
-            if ticket.max_wait < ANY_WAIT
-            and self.timing.is_better_elsewhere(ticket.call, ticket.max_wait, now)
+            if goes_elsewhere(self.timing, ticket.call, ticket.max_wait, now)
         ]
         for ticket in found:
             self._queue.remove(ticket)
@@ -246,7 +230,7 @@
             ticket = self._queue.pop()
             if ticket is None:
                 break
-            if self.timing.waits_out(ticket.call, now):
+            if waits_out(self.timing, ticket.call, now):
                 passed_over.append(ticket)
             elif not self._falls_behind(ticket, now):
                 self._start(ticket, now)
@@ -256,25 +240,17 @@
         return started
 
     def expire(self, ticket: Ticket, now: float) -> bool:
-        """A waiting ticket has waited as long as it may; whether it starts after all.
-
-        If not it leaves the queue. A server that is slow now still starts what comes not much
-        too late by it; for anything else a refusal in time is better.
+        """The latest start of a waiting ticket has passed: it leaves the queue. Whether it
+        starts after all.
         """
         self._queue.remove(ticket)
-        if not self._has_room(now) or self.closures.holding:
-            return False
-        call = ticket.call
-        bound = LAST_RESORT * (call.target - now)
-        if call.target < ANY_WAIT:
-            # Whoever waits much longer than the target wants a late answer rather than none.
-            is_idle = 2 * self.in_flight <= self.limit.value
-            left = LAST_RESORT_LEFT_IDLE if is_idle else LAST_RESORT_LEFT
-            bound = max(bound, left * call.remaining(now))
-        if self.timing.present_time(call, now) > bound:
-            return False
-        self._start(ticket, now)
-        return True
+        return not self.closures.holding and self._starts_late(ticket, now)
+
+    def refusal_after_wait(self, call: Call, now: float) -> NotRun:
+        """What a call hears that has waited and does not start."""
+        if call.hold_until > now:
+            return NotRun(Reason.DEADLINE)
+        return overloaded(self.expected_wait(call, now))
 
     def latest_start(self, call: Call, now: float) -> float:
         """The moment until which a request may wait."""
@@ -284,19 +260,35 @@
         """Tickets pushed out of a full queue since the last call."""
         return self._queue.take_evicted()
 
-    def _misses_target(self, call: Call, wait: float, now: float) -> bool:
-        """Whether a call that has to wait will miss its target, by the queue that is known.
+    def _starts_at_once(self, ticket: Ticket, now: float) -> bool:
+        """Start a ticket if nothing is in its way; whether it has started."""
+        has_room = self._has_room(now)
+        if has_room and not self.queued and not waits_out(self.timing, ticket.call, now):
+            self._start(ticket, now)
+            return True
+        self._was_full = self._was_full or not has_room
+        return False
 
-        Its caller hears so at once instead of after a wait. Against holding each call for a
-        quarter of its target: worth of a day 0.48 -> 0.53 and 0.40 -> 0.43 (two sites at high
-        load, one seed each), 0.76 -> 0.77 on a quiet day.
+    def _misses_target(self, call: Call, wait: float, now: float) -> bool:
+        """Whether a call will miss its target by the wait for others, or for a cold server. One
+        that waits only for the end of a slow spell may still meet it.
         """
-        if call.hold_until == ANY_WAIT or call.target == ANY_WAIT:
-            return False
         waits_for_cold_start = self.cold.wait(0, now) > 0
         if self.in_flight + self.queued < self.limit.value and not waits_for_cold_start:
-            return False  # it waits for a slow spell to end, not for others
-        return now + wait + self.timing.base_time(call, now) > call.target
+            return False
+        return self.timing.misses_target(call, wait, now)
+
+    def _starts_late(self, ticket: Ticket, now: float) -> bool:
+        """Start a ticket that can't wait any longer, if its answer is still worth the slot;
+        whether it has started.
+        """
+        if not self._has_room(now):
+            return False
+        is_idle = 2 * self.in_flight <= self.limit.value
+        if not self.timing.may_start_late(ticket.call, now, is_idle=is_idle):
+            return False
+        self._start(ticket, now)
+        return True
 
     def _falls_behind(self, ticket: Ticket, now: float) -> bool:
         """Put a ticket that will miss its target behind all that may meet theirs.
@@ -312,12 +304,13 @@
         self._queue.push(ticket)
         return True
 
-    def _enqueue(self, ticket: Ticket, wait: float) -> Ticket | NotRun:
+    def _enqueue(self, ticket: Ticket) -> bool:
+        """Let a ticket wait; False if the queue is full and no room is made for it."""
         is_full = len(self._queue) >= self.settings.queue
         if is_full and not self._queue.make_room(ticket):
-            return overloaded(wait)
+            return False
         self._queue.push(ticket)
-        return ticket
+        return True
 
     def _has_room(self, now: float) -> bool:
         """Whether one more may start: there is a slot, and a cold server bears it."""
--- a/packages/wheatslip/wheatslip/speed.py
+++ b/packages/wheatslip/wheatslip/speed.py
@@ -13,7 +13,8 @@
 | slow factor | slowness within slow spells / base slowness, mean |
 | slow | a slowness of at least `SLOW`, in a slow spell or not |
 
-`SpeedModel` learns these from the reports. Pure code.
+`SpeedModel` learns these from the reports. What a gate does with a slow server is decided in
+`wheatslip.admission.slowserver`. Pure code.
 """
 
 from collections import deque
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -5,17 +5,16 @@
 from dataclasses import dataclass
 
 from wheatslip.admission import Admission, ClosedBy, Ticket
+from wheatslip.admission.slowserver import is_probe_due
 from wheatslip.backendload import BackendLoad
 from wheatslip.call import Call
 from wheatslip.hop import LoadReport
-from wheatslip.outcome import NotRun, Reason
+from wheatslip.outcome import NotRun
 from wheatslip.retryafter import (
     EVICTED,
     FASTER_ELSEWHERE,
     LOST_WHILE_WAITING,
-    overloaded,
 )
-from wheatslip.speed import SLOW
 
 from wheatslipd.controllers.view import View
 from wheatslipd.settings import LogLevel
@@ -157,28 +156,27 @@
             )
         self.load_seen = self._clock()
         self.admission.learn_speed(load.slowness, self.load_seen)
-        if load.slowness >= SLOW:
+        if self.admission.timing.is_slow:
             self.in_doubt.set()
             self._send_elsewhere()
         else:
             self._be_fast_again()
 
-    def wants_word(self) -> bool:
-        """Whether a server in doubt should be asked now: someone waits for the word, or it is
-        likely that it is fast again, and the entries should hear so.
+    def should_probe(self) -> bool:
+        """Whether to probe now a server that is in doubt: a request waits for the answer, or
+        the entries should hear that it is likely to be fast again.
         """
         admission = self.admission
         if self.is_closed_by(ClosedBy.ZONE_UNKNOWN) or self.is_closed_by(ClosedBy.ZONE_DRAINED):
             return False
-        if admission.cold.is_assumed(self._clock()):
+        now = self._clock()
+        if admission.cold.is_assumed(now):
+            return True
+        if not admission.is_speed_known or admission.queued:
             return True
-        if (
-            self.is_closed_by(ClosedBy.SERVER_LOST)
-            or not admission.is_speed_known
-            or admission.queued
-        ):
+        if self.is_closed_by(ClosedBy.SERVER_LOST):
             return True
-        return self._clock() - self.load_seen >= admission.speed.mean_slow_spell
+        return is_probe_due(admission.timing, self.load_seen, now)
 
     def learn_nothing(self) -> None:
         """The backend server answered without a word on its load, so it may never tell."""
@@ -219,7 +217,7 @@
 
     def _send_elsewhere(self) -> None:
         """Refuse what waits here but would rather have gone to a faster server."""
-        for ticket in self.admission.better_elsewhere(self._clock()):
+        for ticket in self.admission.take_for_elsewhere(self._clock()):
             self._tell(ticket, FASTER_ELSEWHERE)
 
     def forget_slowness(self) -> None:
@@ -252,9 +250,9 @@
         future: asyncio.Future[NotRun | None] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
         self._plan_cold_start()
-        patience = self.admission.latest_start(ticket.call, now) - now
+        longest = self.admission.latest_start(ticket.call, now) - now
         try:
-            async with asyncio.timeout(max(0.0, patience)):
+            async with asyncio.timeout(max(0.0, longest)):
                 refusal = await future
             return ticket if refusal is None else refusal
         except TimeoutError:
@@ -262,7 +260,7 @@
                 return ticket
             if self.admission.expire(ticket, self._clock()):
                 return ticket
-            return self._waited_in_vain(ticket.call)
+            return self.admission.refusal_after_wait(ticket.call, self._clock())
         except asyncio.CancelledError:
             if not self.admission.withdraw(ticket) and ticket.started is not None:
                 self.leave(ticket, worked=False)
@@ -286,12 +284,6 @@
             in_flight=self.admission.in_flight,
         )
 
-    def _waited_in_vain(self, call: Call) -> NotRun:
-        now = self._clock()
-        if call.hold_until > now:
-            return NotRun(Reason.DEADLINE)
-        return overloaded(self.admission.expected_wait(call, now))
-
     def _wake(self, started: list[Ticket]) -> None:
         for ticket in started:
             self._tell(ticket, None)
--- a/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
+++ b/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
@@ -35,7 +35,7 @@
             if known_for < self._interval:
                 await asyncio.sleep(self._interval - known_for)
                 continue
-            if self._gate.wants_word():
+            if self._gate.should_probe():
                 await self._check.ask(self._gate)
             is_lost = self._gate.is_closed_by(ClosedBy.SERVER_LOST)
             pause = LOST_INTERVAL if is_lost else self._interval
--- a/test/test_recoveryprobe.py
+++ b/test/test_recoveryprobe.py
@@ -205,13 +205,13 @@
     async def scenario():
         gate, clock = checked_gate(TellingBackend(100))
         gate.learn(BackendLoad(1, 0, 4, slowness=5.0))
-        assert not gate.wants_word()
+        assert not gate.should_probe()
         waiting = asyncio.create_task(gate.enter(one_call(clock()), ANY_WAIT))
         for _ in range(TURNS):
             await asyncio.sleep(0)
-        assert gate.admission.queued == 1 and gate.wants_word()
+        assert gate.admission.queued == 1 and gate.should_probe()
         await stop(waiting)
         gate.load_seen -= 10.0
-        assert gate.wants_word()
+        assert gate.should_probe()
 
     run(scenario)
