--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -1,21 +1,20 @@
-"""The task around an `Admission`: lets requests wait for their turn at the backend server."""
+"""The task around an `Admission`: lets requests wait for their start at the backend server."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
 from wheatslip.admission import Admission, ClosedBy, Ticket
+from wheatslip.admission.slowserver import is_probe_due
 from wheatslip.backendload import BackendLoad
 from wheatslip.call import Call
 from wheatslip.hop import LoadReport
-from wheatslip.outcome import NotRun, Reason
+from wheatslip.outcome import NotRun
 from wheatslip.retryafter import (
     EVICTED,
     FASTER_ELSEWHERE,
     LOST_WHILE_WAITING,
-    overloaded,
 )
-from wheatslip.speed import SLOW
 
 from wheatslipd.controllers.view import View
 from wheatslipd.settings import LogLevel
@@ -60,13 +59,13 @@
         self._lost_in_a_row = 0
         self.load_seen = float("-inf")  # when it last told of its load
         self._waiting: dict[Ticket, asyncio.Future[NotRun | None]] = {}
-        self._next_turn: asyncio.TimerHandle | None = None  # of a cold server
+        self._next_cold_start: asyncio.TimerHandle | None = None  # of a cold server
 
     async def enter(self, call: Call, max_wait: float) -> Ticket | NotRun:
-        """Wait for a turn; the ticket that comes back has started and must be left with."""
+        """Wait for the start; the ticket that comes back has started and must be left with."""
         now = self._clock()
         probing = self._probing
-        if probing and self.admission.gain_of_asking(call, now) > probing.price:
+        if probing and self.admission.gain_of_probing(call, now) > probing.price:
             await probing.probe(self)
             now = self._clock()
         ticket = self.admission.arrive(call, now, max_wait)
@@ -135,13 +134,13 @@
         """The backend server was asked, and stays cold for so many seconds."""
         now = self._clock()
         was_cold = self.admission.cold.is_cold(now)
-        self.admission.cold.asked()
-        self.admission.cold.told(remaining, now)
+        self.admission.cold.probed()
+        self.admission.cold.reported(remaining, now)
         is_cold = self.admission.cold.is_cold(now)
         if is_cold and not was_cold:
             logs.info("backend-cold", remaining=round(remaining, 3))
         if was_cold and not is_cold:
-            self._wake(self.admission.admit(now))  # who waits for turns needs none any more
+            self._wake(self.admission.admit(now))  # a warm server bears more of those that wait
 
     def learn(self, load: BackendLoad) -> None:
         """The backend server told of its load."""
@@ -157,28 +156,27 @@
             )
         self.load_seen = self._clock()
         self.admission.learn_speed(load.slowness, self.load_seen)
-        if load.slowness >= SLOW:
+        if self.admission.timing.is_slow:
             self.in_doubt.set()
             self._send_elsewhere()
         else:
             self._be_fast_again()
 
-    def wants_word(self) -> bool:
-        """Whether a server in doubt should be asked now: someone waits for the word, or it is
-        likely that it is fast again, and the entries should hear so.
+    def should_probe(self) -> bool:
+        """Whether to probe now a server that is in doubt: a request waits for the answer, or
+        the entries should hear that it is likely to be fast again.
         """
         admission = self.admission
         if self.is_closed_by(ClosedBy.ZONE_UNKNOWN) or self.is_closed_by(ClosedBy.ZONE_DRAINED):
             return False
-        if admission.cold.is_assumed(self._clock()):
+        now = self._clock()
+        if admission.cold.is_assumed(now):
+            return True
+        if not admission.is_speed_known or admission.queued:
             return True
-        if (
-            self.is_closed_by(ClosedBy.SERVER_LOST)
-            or not admission.is_speed_known
-            or admission.queued
-        ):
+        if self.is_closed_by(ClosedBy.SERVER_LOST):
             return True
-        return self._clock() - self.load_seen >= admission.speed.slow_stretch
+        return is_probe_due(admission.timing, self.load_seen, now)
 
     def learn_nothing(self) -> None:
         """The backend server answered without a word on its load, so it may never tell."""
@@ -219,7 +217,7 @@
 
     def _send_elsewhere(self) -> None:
         """Refuse what waits here but would rather have gone to a faster server."""
-        for ticket in self.admission.better_elsewhere(self._clock()):
+        for ticket in self.admission.take_for_elsewhere(self._clock()):
             self._tell(ticket, FASTER_ELSEWHERE)
 
     def forget_slowness(self) -> None:
@@ -251,10 +249,10 @@
     async def _wait(self, ticket: Ticket, now: float) -> Ticket | NotRun:
         future: asyncio.Future[NotRun | None] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
-        self._plan_turn()
-        patience = self.admission.latest_start(ticket.call, now) - now
+        self._plan_cold_start()
+        longest = self.admission.latest_start(ticket.call, now) - now
         try:
-            async with asyncio.timeout(max(0.0, patience)):
+            async with asyncio.timeout(max(0.0, longest)):
                 refusal = await future
             return ticket if refusal is None else refusal
         except TimeoutError:
@@ -262,7 +260,7 @@
                 return ticket
             if self.admission.expire(ticket, self._clock()):
                 return ticket
-            return self._waited_in_vain(ticket.call)
+            return self.admission.refusal_after_wait(ticket.call, self._clock())
         except asyncio.CancelledError:
             if not self.admission.withdraw(ticket) and ticket.started is not None:
                 self.leave(ticket, worked=False)
@@ -286,27 +284,21 @@
             in_flight=self.admission.in_flight,
         )
 
-    def _waited_in_vain(self, call: Call) -> NotRun:
-        now = self._clock()
-        if call.hold_until > now:
-            return NotRun(Reason.DEADLINE)
-        return overloaded(self.admission.expected_wait(call, now))
-
     def _wake(self, started: list[Ticket]) -> None:
         for ticket in started:
             self._tell(ticket, None)
-        self._plan_turn()
+        self._plan_cold_start()
 
-    def _plan_turn(self) -> None:
-        """Wake up for the next turn at a cold server, if someone waits for it."""
-        wait = self.admission.turn_wait(self._clock())
-        if wait is None or self._next_turn is not None:
+    def _plan_cold_start(self) -> None:
+        """Set a timer for the next start at a cold server, if a request waits for it."""
+        wait = self.admission.cold_start_wait(self._clock())
+        if wait is None or self._next_cold_start is not None:
             return
         loop = asyncio.get_running_loop()
-        self._next_turn = loop.call_later(wait, self._take_turn)
+        self._next_cold_start = loop.call_later(wait, self._admit_cold_start)
 
-    def _take_turn(self) -> None:
-        self._next_turn = None
+    def _admit_cold_start(self) -> None:
+        self._next_cold_start = None
         self._wake(self.admission.admit(self._clock()))
 
     def _tell_evicted(self) -> None:
