--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -21,6 +21,7 @@
 from wheatslipd.feed.proof import Proof
 from wheatslipd.feed.reader import PlatformReader
 from wheatslipd.feed.relay import HEARTBEAT_SECONDS, RelayServer
+from wheatslipd.feed.tasks import until_first_ends
 from wheatslipd.feed.watching import ListWatch, StateWatch
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
@@ -133,13 +134,7 @@
         """
         has_list = self._place.watches_list
         logs.info("watching-platform", has_list=has_list)
-        async with asyncio.TaskGroup() as group:
-            tasks = [
-                group.create_task(self._state_watch.run()),
-                group.create_task(self._follower.run()),
-            ]
-            if has_list:
-                tasks.append(group.create_task(self._list_watch.run()))
-            await self._place.role_changed.wait()
-            for task in tasks:
-                task.cancel()
+        jobs = [self._state_watch.run(), self._follower.run()]
+        if has_list:
+            jobs.append(self._list_watch.run())
+        await until_first_ends(*jobs, self._place.role_changed.wait())
--- a/packages/wheatslipd/wheatslipd/feed/following.py
+++ b/packages/wheatslipd/wheatslipd/feed/following.py
@@ -10,14 +10,17 @@
 from wheatslipd.feed.place import Place
 from wheatslipd.feed.reader import PlatformReader
 from wheatslipd.feed.relay import follow_parent
+from wheatslipd.feed.tasks import until_first_ends
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-STALE_SECONDS = 15.0  # a parent whose news are not confirmed for so long is left
-TURN_SECONDS = 0.2  # pause before the next parent is tried
-# Pause before the parents are tried again that all failed; the platform was read instead, which
-# bounds what a zone without its first daemons costs.
-IN_VAIN_SECONDS = 1.0
+# Seconds for which a parent may send the same `as_of` before the next parent is tried: some
+# heartbeats for each step of the tree. Chosen, not measured.
+STALE_TIMEOUT = 15.0
+NEXT_PARENT_PAUSE = 0.2  # seconds before the next parent is tried; chosen, not measured
+# Seconds before the parents are tried again after all of them failed. The platform is read once
+# in that time, so this bounds what a zone without its watchers costs. Chosen, not measured.
+ROUND_PAUSE = 1.0
 
 
 class ParentFollower:
@@ -31,37 +34,38 @@
         self._reader = reader
         self._tls = tls
         self._rng = rng
-        self.parent = ""  # the daemon that is followed now
+        self.parent = ""  # the daemon that is followed now; empty: none
 
     async def run(self) -> None:
         """Follow one parent after the other until this daemon's role changes.
 
-        When none of them has news, all of them may be gone, or the list that names them is
-        old, and the list with whom to follow instead comes from the platform alone.
+        When no parent has news, all of them may be gone, or the list that names them may be
+        old. Only the platform then has the list with the daemons to follow instead.
         """
-        in_vain = 0
-        turn = 0
+        without_news = 0  # parents tried since the last one that had news
+        tried = 0
         while not self._place.role_changed.is_set():
             if self._place.parents_changed.is_set():
                 self._place.parents_changed.clear()
-                in_vain = 0
-                turn = 0
+                without_news = 0
+                tried = 0
             parents = self._place.parents()
-            if in_vain >= len(parents):
+            if without_news >= len(parents):
                 await self._read_platform(len(parents))
-                await self._rest(IN_VAIN_SECONDS)
-                in_vain = 0
+                await self._rest(ROUND_PAUSE)
+                without_news = 0
                 continue
-            had_news = await self._follow(parents[turn % len(parents)])
-            in_vain = 0 if had_news else in_vain + 1
-            turn += 1
-            await self._rest(TURN_SECONDS)
+            had_news = await self._follow(parents[tried % len(parents)])
+            without_news = 0 if had_news else without_news + 1
+            tried += 1
+            await self._rest(NEXT_PARENT_PAUSE)
 
     async def _read_platform(self, tried: int) -> None:
         """Read from the platform what the parents would have brought.
 
-        A watcher reads the configuration anyway, and one of a zone the list. The other one has
-        the list from its parents alone: with an old list it would try old addresses for ever.
+        Each watcher reads the configuration by itself, and one watcher of each zone reads the
+        list. The others have the list from their parents alone: with an old list they would try
+        old addresses without end.
         """
         if self._place.watches_list:
             return
@@ -77,46 +81,45 @@
             await self._reader.read_all()
 
     async def _rest(self, seconds: float) -> None:
-        """Sleep for about so long, or until there are other parents."""
+        """Sleep for half to one and a half times `seconds`, or until the parents change."""
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds * (0.5 + self._rng.random())):
                 await self._place.parents_changed.wait()
 
     async def _follow(self, parent: str) -> bool:
-        """Follow one parent until it fails or there are others; whether it had news."""
+        """Follow one parent until it fails or the parents change; whether it had news."""
         instance = self._intake.cache.instances.get(parent)
         if instance is None or not instance.control_port:
             return False
         logs.info("following", parent=parent)
         self.parent = parent
-        reading = asyncio.ensure_future(self._read(instance))
-        moving = asyncio.ensure_future(self._place.parents_changed.wait())
         try:
-            await asyncio.wait({reading, moving}, return_when=asyncio.FIRST_COMPLETED)
+            had_news, _ = await until_first_ends(
+                self._read(instance), self._place.parents_changed.wait()
+            )
         finally:
             self.parent = ""
-            for task in (reading, moving):
-                task.cancel()
-            await asyncio.gather(reading, moving, return_exceptions=True)
-        return reading.result() if not reading.cancelled() else False
+        return bool(had_news)
 
     async def _read(self, parent: Instance) -> bool:
-        """Take a parent's updates until it fails, or the platform has not answered it, or those
-        that it follows, for long; whether it had news.
+        """Take a parent's updates until it fails or its `as_of` is stale; whether it had news.
+
+        `as_of` stands still when the platform does not answer the watchers from which the
+        parent has its news, or when daemons follow each other in a circle.
         """
         loop = asyncio.get_running_loop()
         had_news = False
-        heard = 0.0  # the latest `as_of` of the parent
-        heard_at = loop.time()
+        latest = 0.0  # the latest `as_of` of the parent
+        latest_at = loop.time()  # when it came
         before = self._intake.cache.as_of
         cursor = self._intake.cache.cursor(self._place.name)
         async with aclosing(follow_parent(parent, cursor, self._tls)) as updates:
             async for update in updates:
                 had_news |= update.as_of > before or update.listed > cursor.listed
-                if update.as_of > heard:
-                    heard = update.as_of
-                    heard_at = loop.time()
+                if update.as_of > latest:
+                    latest = update.as_of
+                    latest_at = loop.time()
                 self._intake.take_update(update)
-                if loop.time() - heard_at > STALE_SECONDS:
+                if loop.time() - latest_at > STALE_TIMEOUT:
                     break
         return had_news
--- a/packages/wheatslipd/wheatslipd/feed/watching.py
+++ b/packages/wheatslipd/wheatslipd/feed/watching.py
@@ -11,6 +11,7 @@
 from wheatslipd.feed.feedpace import FeedPace
 from wheatslipd.feed.intake import Intake
 from wheatslipd.feed.reader import PlatformReader
+from wheatslipd.feed.tasks import until_first_ends
 from wheatslipd.feed.trouble import log_trouble
 
 # Share of the time that the check of a watch may spend on reading the head. On a link of
@@ -82,20 +83,10 @@
     async def run(self) -> None:
         """Run until cancelled."""
         while True:
-            tasks = [
-                asyncio.ensure_future(self._follow_head()),
-                asyncio.ensure_future(self._keep_drains()),
-            ]
+            jobs = [self._follow_head(), self._keep_drains()]
             if self._pace.watch_check:
-                tasks.append(asyncio.ensure_future(self._check()))
-            try:
-                done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
-            finally:
-                for task in tasks:
-                    task.cancel()
-                await asyncio.gather(*tasks, return_exceptions=True)
-            for task in done:
-                task.result()
+                jobs.append(self._check())
+            await until_first_ends(*jobs)
 
     async def _check(self) -> None:
         """Read the head now and then, until the platform is back from not answering."""
@@ -127,18 +118,7 @@
         """Follow the emptied zones, anew whenever the platform is back."""
         while True:
             self._is_back.clear()
-            tasks = [
-                asyncio.ensure_future(self._follow_drains()),
-                asyncio.ensure_future(self._is_back.wait()),
-            ]
-            try:
-                done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
-            finally:
-                for task in tasks:
-                    task.cancel()
-                await asyncio.gather(*tasks, return_exceptions=True)
-            for task in done:
-                task.result()
+            await until_first_ends(self._follow_drains(), self._is_back.wait())
 
     async def _follow_drains(self) -> None:
         known = self._intake.cache.drains
