--- a/packages/wheatslipd/wheatslipd/feed/relay.py
+++ b/packages/wheatslipd/wheatslipd/feed/relay.py
@@ -1,7 +1,8 @@
-"""Control data from daemon to daemon: serves followers from the cache, and follows a parent.
+"""Updates from daemon to daemon: serves followers from the cache, and follows a parent.
 
-A stream stays open; updates go out when something changes, and a heartbeat when nothing does.
-Each is sent in pieces, so that silence is told from an update that is long for the link.
+A stream stays open. An update goes out when something changes, and as a heartbeat when nothing
+does. Each is sent in chunks, so that an update that takes long on a narrow link is not mistaken
+for a silent parent.
 """
 
 import asyncio
@@ -15,8 +16,8 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from grpclib.server import Server, Stream
 from result import Err, Ok
+from wheatslip.distribution.chunks import Chunk, Joiner, cut
 from wheatslip.distribution.feedcache import Cursor, FeedCache, Update
-from wheatslip.distribution.pieces import Joiner, Piece, cut
 from wheatslip.store.instances import Instance
 
 from wheatslipd.feed.codec import StructCodec
@@ -24,8 +25,12 @@
 from wheatslipd.tls import PeerTls
 
 METHOD = "/wheatslip.Relay/FollowInPieces"
-HEARTBEAT_SECONDS = 2.0
-SILENCE_SECONDS = 5.0  # a parent that says nothing for so long is dead or frozen
+HEARTBEAT_SECONDS = 2.0  # longest time between two updates of a stream; chosen, not measured
+# Seconds without a chunk after which a parent is taken for dead or frozen: two heartbeats, and
+# one for a delay. Chosen, not measured.
+SILENCE_TIMEOUT = 5.0
+# Followers that one daemon serves. The tree gives it about three, and more only while others
+# are gone. Chosen, not measured.
 MAX_FOLLOWERS = 64
 
 
@@ -47,14 +52,14 @@
         return self._codec.encoded_bytes
 
     def __mapping__(self) -> dict[str, grpclib.const.Handler]:
-        """The methods, as grpclib wants them."""
+        """The methods by path, as grpclib asks for them."""
         cardinality = grpclib.const.Cardinality.UNARY_STREAM
-        return {METHOD: grpclib.const.Handler(self._follow, cardinality, Cursor, Piece)}
+        return {METHOD: grpclib.const.Handler(self._follow, cardinality, Cursor, Chunk)}
 
     async def listen(self, host: str, port: int) -> None:
         """Listen; `port` 0 takes a free one. Raises OSError."""
         await self._server.start(host, port, ssl=self._tls.server)
-        # grpclib does not tell the port otherwise.
+        # grpclib has no public way to learn the port.
         server = cast(asyncio.Server, self._server._server)
         self.port = server.sockets[0].getsockname()[1]
 
@@ -64,11 +69,11 @@
         await self._server.wait_closed()
 
     def announce(self) -> None:
-        """The cache has changed: wake the streams."""
+        """Message: the cache has changed. Wakes the streams."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def _follow(self, stream: "Stream[Cursor, Piece]") -> None:
+    async def _follow(self, stream: Stream[Cursor, Chunk]) -> None:
         cursor = await stream.recv_message()
         if cursor is None:
             return
@@ -79,8 +84,8 @@
             while True:
                 changed = self._changed
                 update = self._cache.since(cursor)
-                for piece in cut(msgspec.msgpack.encode(update)):
-                    await stream.send_message(piece)
+                for chunk in cut(msgspec.msgpack.encode(update)):
+                    await stream.send_message(chunk)
                 cursor = _advance(cursor, update)
                 with suppress(TimeoutError):
                     async with asyncio.timeout(HEARTBEAT_SECONDS):
@@ -98,26 +103,26 @@
 async def follow_parent(
     parent: Instance, cursor: Cursor, tls: PeerTls
 ) -> AsyncGenerator[Update, None]:
-    """The updates of one parent; ends when it fails, falls silent or talks nonsense."""
+    """The updates of one parent; ends when it fails, is silent or sends what can't be read."""
     channel = Channel(parent.address, parent.control_port, codec=StructCodec(), ssl=tls.client)
-    method: UnaryStreamMethod[Cursor, Piece] = UnaryStreamMethod(channel, METHOD, Cursor, Piece)
+    method: UnaryStreamMethod[Cursor, Chunk] = UnaryStreamMethod(channel, METHOD, Cursor, Chunk)
     joiner = Joiner()
     try:
         async with method.open() as stream:
-            async with asyncio.timeout(SILENCE_SECONDS):
+            async with asyncio.timeout(SILENCE_TIMEOUT):
                 await stream.send_message(cursor, end=True)
             while True:
-                async with asyncio.timeout(SILENCE_SECONDS):
-                    piece = await stream.recv_message()
-                if piece is None:
+                async with asyncio.timeout(SILENCE_TIMEOUT):
+                    chunk = await stream.recv_message()
+                if chunk is None:
                     return
-                match joiner.add(piece):
+                match joiner.add(chunk):
                     case Ok(message) if message is not None:
                         yield msgspec.msgpack.decode(message, type=Update)
                     case Err(why):
                         logs.warning("update-refused", parent=parent.name, why=why)
                         return
     except (OSError, TimeoutError, GRPCError, StreamTerminatedError, msgspec.DecodeError):
-        return
+        return  # the caller tries the next parent, and logs which one
     finally:
         channel.close()
--- a/test/test_pieces.py
+++ b/test/test_chunks.py
@@ -1,4 +1,4 @@
-"""Control messages in pieces: what is sent comes out whole, and defects of a sender end it."""
+"""Control messages in chunks: what is sent comes out whole, and defects of a sender end it."""
 
 import zlib
 from random import Random
@@ -6,15 +6,15 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from wheatslip.distribution import pieces
-from wheatslip.distribution.pieces import PACK_FROM, PIECE_BYTES, Joiner, Piece, cut
+from wheatslip.distribution import chunks
+from wheatslip.distribution.chunks import CHUNK_BYTES, PACK_FROM, Chunk, Joiner, cut
 
 EDGES = (0, 1, PACK_FROM - 1, PACK_FROM, PACK_FROM + 1)
 
 
-def join(joiner, parts):
-    """What the joiner answers to each part."""
-    return [joiner.add(part).unwrap() for part in parts]
+def join(joiner, given):
+    """What the joiner answers to each chunk."""
+    return [joiner.add(chunk).unwrap() for chunk in given]
 
 
 @given(st.lists(st.binary(max_size=3000), max_size=5))
@@ -26,20 +26,20 @@
         assert not any(before)
 
 
-@pytest.mark.parametrize("size", [*EDGES, PIECE_BYTES, PIECE_BYTES + 1, 5 * PIECE_BYTES])
-def test_no_piece_is_longer_than_a_receiver_waits_for(size):
+@pytest.mark.parametrize("size", [*EDGES, CHUNK_BYTES, CHUNK_BYTES + 1, 5 * CHUNK_BYTES])
+def test_no_chunk_is_longer_than_a_receiver_waits_for(size):
     message = Random(1).randbytes(size)  # that can't be packed
-    parts = list(cut(message))
-    assert [part.is_last for part in parts] == [False] * (len(parts) - 1) + [True]
-    assert all(len(part.data) <= PIECE_BYTES for part in parts)
-    assert join(Joiner(), parts)[-1] == message
+    sent = list(cut(message))
+    assert [chunk.is_last for chunk in sent] == [False] * (len(sent) - 1) + [True]
+    assert all(len(chunk.data) <= CHUNK_BYTES for chunk in sent)
+    assert join(Joiner(), sent)[-1] == message
 
 
 def test_many_routes_are_sent_in_a_fifth_of_their_bytes_or_less():
     message = b"".join(
         b'{"host":"host-%d.example","prefix":"/%x/"}' % (n, n) for n in range(1400)
     )
-    assert sum(len(part.data) for part in cut(message)) < len(message) / 5
+    assert sum(len(chunk.data) for chunk in cut(message)) < len(message) / 5
 
 
 @pytest.mark.parametrize(
@@ -48,11 +48,11 @@
     ids=["empty", "bad", "cut"],
 )
 def test_what_cannot_be_unpacked_is_refused(data):
-    assert Joiner().add(Piece(data, is_last=True, is_packed=True)).is_err()
+    assert Joiner().add(Chunk(data, is_last=True, is_packed=True)).is_err()
 
 
 @pytest.mark.parametrize("is_packed", [False, True])
 def test_a_message_without_an_end_does_not_fill_the_memory(monkeypatch, is_packed):
-    monkeypatch.setattr(pieces, "LONGEST_MESSAGE", 10_000)
+    monkeypatch.setattr(chunks, "LONGEST_MESSAGE", 10_000)
     data = zlib.compress(b"x" * 20_000) if is_packed else b"x" * 20_000
-    assert Joiner().add(Piece(data, is_last=True, is_packed=is_packed)).is_err()
+    assert Joiner().add(Chunk(data, is_last=True, is_packed=is_packed)).is_err()
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -122,7 +122,7 @@
 
 def test_an_update_that_is_long_for_its_link_is_not_taken_for_silence(monkeypatch):
     """It takes twice as long as a parent may be silent, also packed."""
-    monkeypatch.setattr(relay, "SILENCE_SECONDS", 0.4)
+    monkeypatch.setattr(relay, "SILENCE_TIMEOUT", 0.4)
 
     async def scenario():
         random = Random(1)
@@ -144,7 +144,7 @@
         updates = relay.follow_parent(parent, Cursor("child"), PeerTls())
         async with aclosing(updates):
             assert (await anext(updates)).signed == signed
-        assert link.carried / LINK > 2 * relay.SILENCE_SECONDS
+        assert link.carried / LINK > 2 * relay.SILENCE_TIMEOUT
         await link.close()
         await server.stop()
 
