--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -19,7 +19,6 @@
 from wheatslip.distribution.relaytree import (
     FANOUT,
     WATCHERS,
-    depth_of,
     is_watcher,
     parents_of,
     relay_order,
@@ -37,6 +36,7 @@
 from standins.platform import Faults
 from test.helper import BUNDLE, Installation, bundle, run
 from test.test_http import echo
+from test.test_tree_model import depth_of
 
 
 def test_the_tree_reaches_everyone_without_rings_and_with_bounded_fan_out():
@@ -46,7 +46,7 @@
     for name in order[WATCHERS:]:
         assert all(order.index(p) < order.index(name) for p in parents_of(name, order))
     assert max(first_parents.count(name) for name in order) <= FANOUT
-    assert depth_of(len(order)) == 6
+    assert depth_of(order) == 6
 
 
 def test_who_is_not_listed_watches_for_itself():
--- a/test/test_tree_model.py
+++ b/test/test_tree_model.py
@@ -15,7 +15,6 @@
 import pytest
 from wheatslip.distribution.relaytree import (
     WATCHERS,
-    depth_of,
     is_watcher,
     parents_of,
     relay_order,
@@ -27,6 +26,16 @@
 COURSE = 30  # events before it is calm
 
 
+def depth_of(order):
+    """Steps from the last member of a zone by first parents to a watcher."""
+    depth = 0
+    name = order[-1] if order else ""
+    while parents := parents_of(name, order):
+        name = parents[0]
+        depth += 1
+    return depth
+
+
 @dataclass
 class Fleet:
     """Daemons by zone; all know the same list."""
@@ -64,7 +73,7 @@
 
     @property
     def calm_steps(self):
-        return len(self.ring) + max(depth_of(len(order)) for order in self.orders.values()) + 1
+        return len(self.ring) + max(depth_of(order) for order in self.orders.values()) + 1
 
     def living_parent(self, name):
         return next((p for p in self.parents[name] if p in self.alive), None)
