--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wheatslip.admission import ANY_WAIT, Ticket
+from wheatslip.admission import Ticket
 from wheatslip.backendload import decode_backend_load
-from wheatslip.call import Call, CallClass, RequestKind
+from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
 from wheatslip.hop import (
     HOP_HEADER,
     LOAD_HEADER,
@@ -21,16 +21,17 @@
 )
 from wheatslip.ledger import Claim, KeptAnswer, KeyState, key_time
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
+from wheatslip.retryafter import TURNED_AWAY
 
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
-from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER, MILLISECONDS
+from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.gate.gate import Gate
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.http.body import BodyBroken
 from wheatslipd.http.exchange import Exchange
-from wheatslipd.http.messages import Headers, RequestHead, ResponseHead
+from wheatslipd.http.messages import MILLISECONDS, Headers, RequestHead, ResponseHead
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.outcomes import describe
@@ -39,7 +40,6 @@
 CATCH_UP_SECONDS = 0.5  # how long a request waits for a version that its entry has already
 CATCH_UP_STEP = 0.02
 BODY_HOLD = 64 * 1024  # bytes of a request's body that are waited for; entries send as much
-SHED_RETRY_AFTER = 1.0  # seconds
 MISDIRECTED = 421  # HTTP status of a server that is not the one that is meant
 
 
@@ -225,8 +225,8 @@
         self._learn_load(response.head)
         if self._was_not_run(response.head, passage.call):
             if self.server and response.head.status == MISDIRECTED:
-                self._gate.on_stranger()
-            return NotRun(Reason.SHED, retry_after=SHED_RETRY_AFTER)
+                self._gate.server_replaced()
+            return TURNED_AWAY
         headers = [
             (name, value)
             for name, value in response.head.forwarded()
