--- a/test/test_forms.py
+++ b/test/test_forms.py
@@ -34,8 +34,8 @@
 from wheatslip.config.head import Head
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.zonedrains import StoredDrain, decode_drain
+from wheatslip.distribution.chunks import Chunk, Joiner, cut
 from wheatslip.distribution.feedcache import Cursor, Update
-from wheatslip.distribution.pieces import Joiner, Piece, cut
 from wheatslip.hop import decode_hop, decode_load, decode_refusal, encode, encode_outcome
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
 from wheatslip.store.instances import Instance, decode_instance
@@ -113,7 +113,7 @@
     "listing": through(Listing),
     "cursor": as_bytes(Cursor),
     "update": as_bytes(Update),
-    "piece": as_bytes(Piece),
+    "piece": as_bytes(Chunk),
 }
 
 
@@ -140,7 +140,7 @@
     joiner, codec, found = Joiner(), StructCodec(), []
     for piece in cut(message):
         joined = joiner.add(piece).unwrap()
-        data = codec.encode(piece, Piece)
+        data = codec.encode(piece, Chunk)
         found.append(data.hex() if len(data) < 100 else digest(data))
     assert joined == message
     return found
@@ -179,7 +179,7 @@
     body.finish()
     connection = Recorder()
     exchange = Exchange(connection, RequestHead(b"GET", b"/"), body, False)
-    await send_refusal(exchange, outcome, extra, plain=port == "entry-by-routes")
+    await send_refusal(exchange, outcome, extra, by_routes=port == "entry-by-routes")
     return connection.sent.decode()
 
 
