--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -29,9 +29,9 @@
 from wheatslipd.controllers.zones import ZoneController
 from wheatslipd.entry.entry import Entry
 from wheatslipd.entry.filters import common_filters, workspace_filters
-from wheatslipd.entry.forward import Forwarder
+from wheatslipd.entry.forward import Decisions, Forwarder, ForwardSettings
 from wheatslipd.entry.routefilter import RouteFilter
-from wheatslipd.feed.feed import Feed
+from wheatslipd.feed.feed import Feed, Member, Surroundings
 from wheatslipd.feed.proof import proof_of
 from wheatslipd.gate.backend import Backend
 from wheatslipd.gate.gate import Gate, SpeedProbing
@@ -91,15 +91,10 @@
         tls = peer_tls(settings.peer_tls)
         store = ports.store or ObjectClient(settings.platform, rng)
         self.feed = Feed(
-            settings.name,
-            settings.zone,
-            store,
+            Member(settings.name, settings.zone, settings.feed),
+            Surroundings(store, tls, rng, unix),
             proof_of(settings),
             self.bus,
-            tls,
-            rng,
-            unix,
-            settings.feed,
         )
         self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
         self._backend = Backend(
@@ -366,32 +361,34 @@
 
     def _build_entry(self, rng: Random) -> Entry:
         settings = self.settings
-        plain = settings.interface is Interface.ROUTES
+        by_routes = settings.interface is Interface.ROUTES
+        forward_settings = ForwardSettings(
+            settings.name,
+            settings.pool.encode(),
+            settings.headers,
+            settings.answer_hold,
+            by_routes,
+        )
+        budgets = RetryBudgets(
+            fleet=settings.fleet_budget,
+            members=lambda: len(self.feed.cache.instances),
+            started=self._monotonic(),
+        )
         forwarder = Forwarder(
+            forward_settings,
+            Decisions(self._chooser, budgets),
             self.view,
-            self.settings.name,
-            self._chooser,
             self.metrics,
-            rng,
             self._monotonic,
             self._hint_newer_version,
-            RetryBudgets(
-                fleet=settings.fleet_budget,
-                members=lambda: len(self.feed.cache.instances),
-                started=self._monotonic(),
-            ),
-            settings.headers,
-            settings.pool,
-            settings.answer_hold,
-            plain,
         )
         filters = common_filters(self.view, self.metrics, self._tracer, self._monotonic)
-        if plain:
+        if by_routes:
             filters.append(RouteFilter(settings.headers, self._monotonic, rng))
         else:
             filters += workspace_filters(self._monotonic)
         chain = build_chain(filters, forwarder)
-        return Entry(chain, self._monotonic, self.view, plain=plain)
+        return Entry(chain, self._monotonic, self.view, by_routes=by_routes)
 
     def _hint_newer_version(self, version: int, address: str) -> None:
         self.bus.fire(newer_version_seen(version, address))
