--- a/packages/wheatslip/wheatslip/admission/ticket.py
+++ b/packages/wheatslip/wheatslip/admission/ticket.py
@@ -4,6 +4,8 @@
 
 from wheatslip.call import ANY_WAIT, Call
 
+# Part of the starts that urgent requests may take while others wait. More starves the others,
+# less makes urgent ones wait. Chosen, not measured.
 DEFAULT_URGENT_SHARE = 0.25
 
 
--- a/packages/wheatslip/wheatslip/backendload.py
+++ b/packages/wheatslip/wheatslip/backendload.py
@@ -1,14 +1,14 @@
-"""What a backend server tells of its load in a header of its answers."""
+"""The load that a backend server reports in a header of its answers."""
 
 from dataclasses import dataclass
 
-USUAL_PERCENT = 100.0
+USUAL_PERCENT = 100.0  # of a server that is as fast as usual
 _FIGURES = 3  # running, waiting, slots; a fourth may follow
 
 
 @dataclass(frozen=True, slots=True)
 class BackendLoad:
-    """Requests running and waiting, slots, and how long work takes as a part of the usual."""
+    """Requests running and waiting, slots, and the slowness (`wheatslip.speed`)."""
 
     running: int
     waiting: int
--- a/packages/wheatslip/wheatslip/fairqueue.py
+++ b/packages/wheatslip/wheatslip/fairqueue.py
@@ -1,7 +1,7 @@
 """A queue that is fair between workspaces: start-time fair queueing over deadline order.
 
-Urgent items go first but within a bounded share of the starts; they earn and use up
-nobody's share. Within one workspace the earliest deadline goes first.
+Urgent items go first, within a bounded share of the starts; they count for no workspace's
+share. Within one workspace the item with the earliest deadline goes first.
 """
 
 import heapq
@@ -11,7 +11,12 @@
 
 T = TypeVar("T")
 
-MAX_LEFT_OFF = 1000  # workspaces remembered before those that have caught up are dropped
+# Workspaces whose place in virtual time is remembered before those that have caught up are
+# dropped; fewer only drop them more often. Chosen, not measured.
+MAX_LEFT_OFF = 1000
+# Urgent starts that may be saved up while none waits. More would let a burst of urgent items
+# hold up the others for longer. Chosen, not measured.
+MAX_URGENT_CREDIT = 2.0
 
 
 class _Lane(Generic[T]):
@@ -73,7 +78,7 @@
             return None
         # Each normal start earns the urgent ones their bounded part.
         earned = self.urgent_share / max(1e-9, 1.0 - self.urgent_share)
-        self._urgent_credit = min(2.0, self._urgent_credit + earned)
+        self._urgent_credit = min(MAX_URGENT_CREDIT, self._urgent_credit + earned)
         workspace = min(self._lanes, key=lambda name: self._lanes[name].start_tag)
         return self._pop_lane(workspace)
 
@@ -83,11 +88,11 @@
             return len(self._urgent)
         own = self._lanes.get(workspace)
         backlog = len(own.heap) if own else 0
-        turns = (backlog + 1) / self._share(workspace)
+        starts = (backlog + 1) / self._share(workspace)
         ahead = backlog + len(self._urgent)
         for name, lane in self._lanes.items():
             if name != workspace:
-                ahead += min(len(lane.heap), int(turns * self._share(name)))
+                ahead += min(len(lane.heap), int(starts * self._share(name)))
         return ahead
 
     def remove(self, workspace: str, item: T) -> bool:
@@ -106,7 +111,8 @@
         return False
 
     def evict_for(self, workspace: str) -> bool:
-        """Make room for an item of `workspace` from who waits with most for its share.
+        """Make room for an item of `workspace` at the cost of the one with most waiting for its
+        share.
 
         False if that would be `workspace` itself. The evicted item is the one with the
         latest deadline; see `take_evicted`.
--- a/packages/wheatslip/wheatslip/ledger.py
+++ b/packages/wheatslip/wheatslip/ledger.py
@@ -1,8 +1,9 @@
 """At most once: the records of request keys that one daemon owns.
 
-Keys are UUIDs of version 7, so each tells when it was made. A daemon keeps its records in
-memory only; for a key made before it began to watch, or before the oldest record it still
-has, it can't say whether the request ran, and says so instead of running it.
+Keys are UUIDs of version 7, which hold the time at which they were made. A daemon keeps its
+records in memory only. For a key made before it began to keep records, or before the oldest
+record that it still has, it doesn't know whether the request ran; it answers so, and does not
+run it.
 """
 
 from collections import OrderedDict
@@ -10,13 +11,19 @@
 from enum import Enum
 from uuid import UUID
 
+# Seconds that a record is kept, and records at most. With fewer, a key that is sent again late
+# gets "unknown" instead of its first answer; more take memory. Chosen, not measured.
 KEPT_SECONDS = 600.0
 MAX_RECORDS = 50_000
-MAX_KEPT_ANSWER = 16 * 1024  # bytes of one answer that is kept for a re-send
-MAX_KEPT_ANSWERS = 16 * 1024 * 1024  # bytes of all
-CLOCK_SKEW = 2.0  # seconds by which a caller's clock may differ from ours
-UUID7_VERSION = 7
-UUID7_TIME_SHIFT = 80
+# Bytes of one answer that is kept for a re-send, and of all of them; a larger one is not kept,
+# so its re-send gets "unknown". Chosen, not measured.
+MAX_KEPT_ANSWER = 16 * 1024
+MAX_KEPT_ANSWERS = 16 * 1024 * 1024
+# Seconds by which a caller's clock may differ from ours. Below the real difference a key that
+# is sent again could run twice; above it, more keys made around a start are not run. Assumed.
+CLOCK_SKEW = 2.0
+UUID7_VERSION = 7  # RFC 9562
+UUID7_TIME_SHIFT = 80  # bits below the time in milliseconds
 
 
 class KeyState(Enum):
--- a/packages/wheatslip/wheatslip/limit.py
+++ b/packages/wheatslip/wheatslip/limit.py
@@ -7,20 +7,34 @@
 
 from dataclasses import dataclass
 
+# Requests that may run at one time before anything is learned. Higher, a small server is
+# overrun at first; lower, a large one idles until the limit has grown. Chosen, not measured.
 INITIAL_LIMIT = 8
+# Bounds of the limit. Below the lower one a server that was slow for a while would serve one
+# request at a time; beyond the upper one the limit protects nothing. Chosen, not measured.
 MIN_LIMIT = 2
 MAX_LIMIT = 1000
-SERVICE_WEIGHT = 0.1  # weight of one answer in the service time
-GROW_BELOW = 1.25  # ratio of recent to unhurried time under which the limit grows
+# Weight of one answer in the service time: about the last ten count. Less follows a change
+# late, more follows single answers. Chosen, not measured.
+SERVICE_WEIGHT = 0.1
+# Mean time of a window / unhurried time, below which the limit grows and above which it
+# shrinks. Nearer to each other the limit swings, further apart it stays where it is. Chosen,
+# not measured.
+GROW_BELOW = 1.25
 SHRINK_ABOVE = 1.6
+# By which a limit shrinks in one window: smaller gives up slots for one bad window, larger
+# leaves an overload standing. Chosen, not measured.
 SHRINK_FACTOR = 0.9
-BASELINE_DRIFT = 0.02  # per window; lets a lasting slow-down become the new normal
-INITIAL_SERVICE = 0.005  # seconds, until the first answer
+# Part by which the unhurried time follows a slower window, so that a lasting slow-down becomes
+# the new normal. More forgets the unhurried time during an overload. Chosen, not measured.
+BASELINE_DRIFT = 0.02
+# Seconds that a request is taken to last until the first answer. Chosen, not measured.
+INITIAL_SERVICE = 0.005
 
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """The limit and the service time. `slots` above 0 fixes the limit."""
+    """The limit, and the service time in seconds. `slots` above 0 fixes the limit."""
 
     slots: int = 0
     service: float = INITIAL_SERVICE
--- a/packages/wheatslip/wheatslip/owners.py
+++ b/packages/wheatslip/wheatslip/owners.py
@@ -1,7 +1,7 @@
 """Who owns a request key: rendezvous hashing over the members of a pool.
 
-The history of memberships tells since when a daemon has been a key's owner without a gap,
-as far as it knows itself.
+The history of memberships says since when a daemon has owned a key without a gap, by what it
+has seen itself.
 """
 
 import hashlib
@@ -9,14 +9,16 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+# Memberships remembered. With fewer, a key that has long been ours counts as taken over later
+# than it was, so that fewer old keys run; more take memory. Chosen, not measured.
 KEPT_VIEWS = 256
-OWNER_LEASE = 10.0  # seconds; two quiet watches of the platform, with room for the relays
-LIST_SKEW = 2.0  # seconds by which the clocks of two daemons may differ
-
-
-def rank(key: str, members: Sequence[str]) -> list[str]:
-    """The members in the order in which they own `key`; the first is the owner."""
-    return sorted(members, key=lambda name: _weight(key, name), reverse=True)
+# Seconds that an owner acts after its list was last checked, and a new owner waits. Two quiet
+# watches of the platform, with room for the relays: shorter refuses keys while nothing is
+# wrong, longer lets keys of a lost owner wait.
+OWNER_LEASE = 10.0
+# Seconds by which the clocks of two daemons may differ. Below the real difference two owners
+# could act at one time; above it, a new owner waits longer. Assumed.
+LIST_SKEW = 2.0
 
 
 def owner(key: str, members: Sequence[str]) -> str | None:
@@ -39,8 +41,8 @@
 class OwnerHistory:
     """The memberships of one pool that a daemon has seen, latest last.
 
-    An owner acts for a lease only: so long after its list was last checked. A new owner in
-    turn takes a key for its own only when the lease of any former one has run out.
+    An owner acts only for `OWNER_LEASE` after its list was last checked. A new owner takes a
+    key for its own only when the lease of any former one has run out.
     """
 
     def __init__(self) -> None:
--- a/packages/wheatslip/wheatslip/servicetimes.py
+++ b/packages/wheatslip/wheatslip/servicetimes.py
@@ -3,7 +3,10 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-WEIGHT = 0.1  # of one answer
+# Weight of one answer in the mean of its kind: about the last ten count. Chosen, not measured.
+WEIGHT = 0.1
+# Kinds that are remembered, so that made-up names don't take memory without bound; the kind
+# that was seen first goes first. Chosen, not measured.
 MAX_KINDS = 1000
 
 
--- a/packages/wheatslip/wheatslip/slidinglimit.py
+++ b/packages/wheatslip/wheatslip/slidinglimit.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-WINDOW = 1.0  # seconds
+WINDOW = 1.0  # seconds; bounds are given per second
 
 
 @dataclass(slots=True)
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -37,16 +37,16 @@
         head: RequestHead,
         body: Body,
         echo: tuple[bytes, bytes] | None = None,
-        connect_patience: float = 0.0,
+        connect_timeout: float = 0.0,
     ) -> BackendAnswer | NotRun | Unknown:
         """Send a request; `NotRun` if surely nothing of it reached the server.
 
-        `echo` is the header, with its value, that tells its answer from a surplus one;
-        `connect_patience` the seconds that a connection may take, if more than usual.
+        `echo` is the header, with its value, by which its answer is known from a surplus one;
+        `connect_timeout` the seconds that a connection may take, if more than usual.
         """
         now = asyncio.get_running_loop().time()
-        patience = max(self._connect_timeout, connect_patience)
-        connection = await self._pool.take(patience, self._resting.trusted(now))
+        timeout = max(self._connect_timeout, connect_timeout)
+        connection = await self._pool.take(timeout, self._resting.trusted(now))
         if connection is None:
             return NO_CONNECTION
         if echo is not None:
--- a/packages/wheatslipd/wheatslipd/gate/measure.py
+++ b/packages/wheatslipd/wheatslipd/gate/measure.py
@@ -1,7 +1,7 @@
-"""The task that measures the local backend server, within the operator's budget.
+"""The task that looks after a silent backend server, within the operator's budget of probes.
 
-Answers tell the load for nothing, so the health endpoint is asked only in silence: when no
-request has ended for a while. It is the only active measuring there is.
+Answers report the load at no cost, so the health endpoint is probed only in silence, when no
+request has ended for a while. If its answer says that the server leaves, the daemon leaves too.
 """
 
 import asyncio
@@ -16,7 +16,8 @@
 from wheatslipd.telemetry.metrics import Metrics
 
 DRAINING_HEADER = b"x-draining"
-PROBE_TIMEOUT = 1.0  # seconds
+# Seconds that a probe may take; a longer one only delays the next. Chosen, not measured.
+PROBE_TIMEOUT = 1.0
 
 
 @dataclass(slots=True)
@@ -46,7 +47,7 @@
         clock: Callable[[], float],
         is_silent: Callable[[float], bool],
     ):
-        """`is_silent(seconds)` tells whether nothing was answered for so long."""
+        """`is_silent(seconds)`: whether nothing was answered for so long."""
         self._backend = backend
         self._path = path
         self._bus = bus
--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 from wheatslip.ledger import KEPT_SECONDS, KeptAnswer, KeyLedger, KeyState, key_time
-from wheatslip.owners import LIST_SKEW, OWNER_LEASE, OwnerHistory, owner, rank
+from wheatslip.owners import LIST_SKEW, OWNER_LEASE, OwnerHistory, owner
 
 from standins.caller import make_key
 
@@ -75,6 +75,15 @@
     assert ledger.claim("a", key, owned_since=101.0, now=102.0).state is KeyState.TOO_OLD
 
 
+def rank(key, members):
+    """The members in the order in which they own a key when those before them leave."""
+    ranked, rest = [], list(members)
+    while rest:
+        ranked.append(owner(key, rest))
+        rest.remove(ranked[-1])
+    return ranked
+
+
 def test_a_leaving_member_moves_only_its_own_keys():
     members = [f"papers-{i}" for i in range(6)]
     keys = [f"key-{i}" for i in range(300)]
