--- a/packages/wheatslip/wheatslip/budget.py
+++ b/packages/wheatslip/wheatslip/budget.py
@@ -1,7 +1,8 @@
 """Retry budgets: how many more sends than requests are allowed, per workspace and service.
 
-A budget earns a part of a token for each request and pays one for each retry or hedge, so
-that retries stay a fixed share of live traffic, also when everything fails.
+A budget earns a part of a token for each request and pays one for each further send, so that
+retries stay a fixed share of live traffic, also when everything fails. Where the operator sets
+a `FleetBudget`, the same share is kept in any window, over all daemons together.
 """
 
 from collections import deque
@@ -9,10 +10,15 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+# Tokens that a request earns: retries per request. With less, single failures reach callers;
+# with more, retries add load where servers fail of load. Chosen, not measured.
 RETRY_SHARE = 0.1
-RESERVE = 3.0  # tokens an idle budget starts from and can save up to, at least
-SAVED_SECONDS_SHARE = 20.0  # tokens a busy budget can save up to
-BUCKETS = 20  # parts of a window
+INITIAL_TOKENS = 3.0  # so that the first failures of a new budget are retried. Chosen.
+# Tokens that a budget can save up, which bounds a burst of retries. Chosen, not measured.
+MAX_TOKENS = 20.0
+# Buckets that a window is counted in: more cost memory, fewer let go of requests in larger
+# steps, so fewer retries are allowed. Chosen, not measured.
+BUCKETS = 20
 
 
 class Budget(Protocol):
@@ -30,11 +36,11 @@
     """Tokens for retries of one workspace at one service."""
 
     share: float = RETRY_SHARE
-    tokens: float = RESERVE
+    tokens: float = INITIAL_TOKENS
 
     def on_request(self) -> None:
         """A first try was sent."""
-        self.tokens = min(SAVED_SECONDS_SHARE, self.tokens + self.share)
+        self.tokens = min(MAX_TOKENS, self.tokens + self.share)
 
     def take(self) -> bool:
         """Pay for one retry; False if the budget is spent."""
@@ -46,14 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetBudget:
-    """Bound on the repeated sends to one service by all daemons together.
+    """Bound on the further sends to one service by all daemons together, in any window."""
 
-    In any `window` (seconds) there may be `share` of the requests, and `reserve` besides.
-    """
-
-    share: float
-    reserve: float
-    window: float = 10.0
+    share: float  # further sends per request
+    reserve: float  # further sends besides
+    window: float = 10.0  # seconds
 
 
 @dataclass(slots=True)
@@ -69,10 +72,9 @@
 class WindowBudget:
     """One daemon's part of a `FleetBudget` at one service.
 
-    Nothing is shared: each daemon spends the share of its own requests and an equal part of
-    the reserve, so the sum stays within the bound whoever is cut off or restarted. A daemon
-    that has just started has spent an unknown part in its former life, so it gets no reserve
-    for a whole window.
+    Daemons share no state: each spends the share of its own requests and an equal part of the
+    reserve, so the sum stays within the bound whichever daemon is cut off or restarted. What a
+    daemon spent before a restart is not known, so it has no reserve for a whole window.
     """
 
     bound: FleetBudget
@@ -82,7 +84,7 @@
     _now: float = float("-inf")
 
     def advance(self, now: float) -> None:
-        """Forget what has left the window."""
+        """Drop the buckets that have left the window at `now`."""
         self._now = now
         step = self.bound.window / BUCKETS
         if not self._buckets or now >= self._buckets[-1].since + step:
@@ -96,8 +98,8 @@
 
     def take(self) -> bool:
         """Pay for one more send; False if the budget is spent."""
-        # Both err on the safe side: of a bucket that has left the window in part, its retries
-        # still count and its requests no longer do.
+        # Of a bucket that has left the window in part the retries still count and the requests
+        # no longer do, so that the bound holds.
         begin = self._now - self.bound.window
         requests = sum(b.requests for b in self._buckets if b.since >= begin)
         retries = sum(bucket.retries for bucket in self._buckets)
@@ -123,7 +125,9 @@
         members: Callable[[], int] = lambda: 1,
         started: float = 0.0,
     ):
-        """With `fleet` the bound holds over the `members` daemons, whatever the workspace."""
+        """With `fleet` its bound holds over as many daemons as `members` returns, for all
+        workspaces together; `started` is when this daemon began to listen.
+        """
         self._share = share
         self._fleet = fleet
         self._members = members
--- a/packages/wheatslip/wheatslip/call.py
+++ b/packages/wheatslip/wheatslip/call.py
@@ -8,7 +8,7 @@
 
 
 class CallClass(StrEnum):
-    """How a call stands in a queue: urgent calls go first but earn no share."""
+    """The class of a call in a queue: urgent calls go first but earn no share."""
 
     NORMAL = "normal"
     URGENT = "urgent"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """What a service's bundle says of a kind of request."""
+    """A kind of request, as the bundle defines it for a service."""
 
     name: str
     repeatable: bool
@@ -25,24 +25,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request on its way. Times are in seconds on the local monotonic clock.
-
-    An answer after `target` is worth little, one after `deadline` nothing. It may wait for
-    a backend server until `hold_until`, and while it may still meet its target; after that its
-    caller rather hears a refusal. Without a bound it waits until its deadline.
-    `request_id` is what the backend server echoes in its answer.
-    """
+    """One request on its way. Moments are in seconds on the local monotonic clock."""
 
     workspace: str
     service: str
     kind: RequestKind
-    deadline: float
-    key: str = ""
-    depth: int = 0
-    target: float = ANY_WAIT
+    deadline: float  # an answer after it is worth nothing
+    key: str = ""  # of a call that is to run at most once, however often it is sent
+    depth: int = 0  # calls that led to this one, each made while serving the one before
+    target: float = ANY_WAIT  # an answer after it is worth little
+    # It may wait for a backend server until this moment, and as long as it may still meet its
+    # target; then a refusal is worth more to its caller than a longer wait. Without a bound it
+    # may wait until its deadline.
     hold_until: float = ANY_WAIT
-    max_attempts: int = 5
-    request_id: str = ""
+    max_attempts: int = 5  # tries that may reach a backend server
+    request_id: str = ""  # what the backend server echoes in its answer
 
     def remaining(self, now: float) -> float:
         """Seconds left at `now`; not positive once the deadline has passed."""
--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -5,10 +5,10 @@
 What goes in:
 
 - what this entry has in flight at each upstream: exact, but a small part of the load there;
-- the last `LoadReport` of each, which rode back on an answer: the whole load, but stale on
+- the last `LoadReport` of each, sent back on an answer: the whole load, but stale on
   arrival and the same for many entries;
-- failures and errors that this entry met itself, and what the platform's list, which lags, says
-  of the upstream's health;
+- failures and errors that this entry met itself, and the health in the platform's list, which
+  lags;
 - the availability zones, and the operator's `ChooserSettings`.
 
 `Chooser.pick` decides in this order:
@@ -60,8 +60,8 @@
 FAILURE_FIRST_PAUSE = 0.2
 FAILURE_LAST_PAUSE = 5.0
 # An upstream whose machine must be gone: no connection for so many seconds, which are longer
-# than a restart or a short cut, and so many failures, so that silence alone, where nobody
-# tried, is no sign. Chosen, not measured.
+# than a restart or a short cut, and so many failures, as time alone shows nothing where nobody
+# tried. Chosen, not measured.
 DEAD_AFTER = 15.0
 DEAD_AFTER_FAILURES = 4
 # Share of the picks that an upstream takes part in when it has just joined. With none it would
@@ -103,7 +103,7 @@
     name: str
     zone: str
     joined: float = 0.0  # when it was first seen; 0 for one that was here before us
-    healthy: bool = True  # what the platform's lagging list says
+    healthy: bool = True  # by the platform's list, which lags
     in_flight: int = 0
     report: LoadReport | None = None
     reported_at: float = 0.0
@@ -133,7 +133,7 @@
         self.done_since_report += 1
 
     def on_report(self, report: LoadReport, now: float) -> None:
-        """A load report rode back."""
+        """A load report came with an answer."""
         self.unreachable_since = None
         self.report = report
         self.reported_at = now
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChooserSettings:
-    """The operator's settings; default.ini says when to change them. Times in seconds."""
+    """The operator's settings; default.ini explains when to change them. Times in seconds."""
 
     candidates: int = 4  # of the own availability zone, compared for each request
     far_penalty: float = 0.002  # what leaving that zone costs
@@ -197,7 +197,7 @@
     _pool_limit: float = 0.0  # mean limit that reports show; 0 before the first
 
     def on_report(self, upstream: Upstream, report: LoadReport, now: float) -> None:
-        """A load report rode back from `upstream`."""
+        """A load report came with an answer from `upstream`."""
         upstream.on_report(report, now)
         load = (report.in_flight + report.queued) / max(1, report.limit)
         self._pool_load += POOL_LOAD_WEIGHT * (load - self._pool_load)
@@ -210,7 +210,7 @@
         """The upstream to try next; None if each is tried already or leaving.
 
         When none of the rest is in good standing the pick is an even spread over all of
-        them: the signs may be wrong, and all load on the last good one would fell it too.
+        them: the signs may be wrong, and all load on the last good one would overload it too.
         """
         open_ones = [u for u in upstreams if u.name not in tried and not u.draining]
         if not open_ones:
--- a/packages/wheatslip/wheatslip/hop.py
+++ b/packages/wheatslip/wheatslip/hop.py
@@ -39,7 +39,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """The load at the gate of a backend server, which rides back on every answer."""
+    """The load at the gate of a backend server, sent back on every answer."""
 
     in_flight: int  # requests that run
     queued: int  # requests that wait
@@ -98,11 +98,11 @@
     """
     if value == b"answered":
         return None
-    word, _, name = value.partition(b"; ")
+    kind, _, name = value.partition(b"; ")
     try:
         reason = Reason(name.decode("ascii", "replace"))
     except ValueError:
         return Unknown(Reason.CONNECTION_LOST)
-    if word == b"not-run":
+    if kind == b"not-run":
         return NotRun(reason, retry_after)
     return Unknown(reason)
--- a/packages/wheatslip/wheatslip/outcome.py
+++ b/packages/wheatslip/wheatslip/outcome.py
@@ -1,6 +1,6 @@
 """Outcomes of a request, as values.
 
-A request ends in exactly one of three ways: it was answered, it was surely not run, or it
+A request ends in exactly one of three ways: it was answered, it was not run for certain, or it
 is unknown whether it ran. Nothing in the library raises to report one of these.
 """
 
@@ -32,7 +32,7 @@
     NO_CONFIGURATION = "no-configuration"
     WRONG_POOL = "wrong-pool"
     CONNECTION_LOST = "connection-lost"
-    UNACKNOWLEDGED = "unacknowledged"  # the other machine took none of the bytes, it seems
+    UNACKNOWLEDGED = "unacknowledged"  # the other machine acknowledged none of the bytes
     BACKEND_FAILED = "backend-failed"
     CANCELLED = "cancelled"
 
@@ -63,7 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request was not run, for certain. `retry_after` is in seconds, None if pointless."""
+    """The request was not run, for certain. `retry_after` is in seconds, None if not known;
+    `retryafter` has the cases.
+    """
 
     reason: Reason
     retry_after: float | None = None
--- a/packages/wheatslip/wheatslip/resting.py
+++ b/packages/wheatslip/wheatslip/resting.py
@@ -1,31 +1,36 @@
-"""How long a kept connection may have rested before it is not trusted any more.
+"""How long a kept connection may have been idle before it is no longer used.
 
-Some backend servers forget idle connections without a word and reset the next request on
-them. Whether such a request ran can't be known, so one that may run only once is lost. A
-reset on a connection that had rested says after how long this happens. Pure; seconds.
+Some backend servers drop idle connections without closing them and reset the next request on
+them. Whether such a request ran can't be known, so one that may run only once is lost. A reset
+on a connection that had been idle shows after how long this happens. Pure; seconds.
 """
 
 from dataclasses import dataclass
 
-MARGIN = 0.5  # part of the rest that ended in a reset that is still trusted
-MEMORY = 10.0  # seconds after the last such reset until any rest is trusted again
-LONG_ENOUGH = 0.05  # shorter rests don't explain a reset
+# Part of the idle time before a reset that is still trusted: more, and the next connection is
+# reset as well; less, and connections are opened that were not needed. Chosen, not measured.
+MARGIN = 0.5
+# Seconds after the last such reset until any idle time is trusted again, as the server may have
+# been replaced. Chosen, not measured.
+MEMORY = 10.0
+# Seconds; a reset after a shorter idle time has another cause. Chosen, not measured.
+LONG_ENOUGH = 0.05
 
 
 @dataclass(slots=True)
 class RestLimit:
-    """What the resets of one backend server tell of its idle connections."""
+    """The idle time that one backend server is known to allow."""
 
     _trusted: float = float("inf")
     _learned_at: float = float("-inf")
 
     def on_reset(self, rested: float, now: float) -> None:
-        """A request was reset on a connection that had rested for so long."""
+        """A request was reset on a connection that had been idle for `rested` seconds."""
         if rested < LONG_ENOUGH:
             return
         self._trusted = min(self.trusted(now), MARGIN * rested)
         self._learned_at = now
 
     def trusted(self, now: float) -> float:
-        """The longest rest after which a connection should still be used."""
+        """The longest idle time, in seconds, after which a connection should still be used."""
         return self._trusted if now - self._learned_at < MEMORY else float("inf")
--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -12,7 +12,7 @@
 | `NO_SERVER`          | no-upstream, 1       | entry: there is no server to try             |
 | `NO_PEER_CONNECTION` | unreachable, 1       | entry: the server's daemon takes no          |
 |                      |                      | connection                                   |
-| `SERVER_UNKNOWN`     | not-ready, 0.2       | gate: which server stands here is not known  |
+| `SERVER_UNKNOWN`     | not-ready, 0.2       | gate: it is not known which server runs here |
 | `SERVER_LOST`        | unreachable, 0.2     | gate: the server is lost when the request    |
 |                      |                      | comes                                        |
 | `LOST_WHILE_WAITING` | unreachable, 0.05    | gate: the server is lost while the request   |
@@ -26,19 +26,21 @@
 | `LEASE_LAPSED`       | lease-lapsed, 1      | gate: it may not decide on keys now          |
 | `NOT_KEY_OWNER`      | not-key-owner, 1     | gate: another daemon owns the key            |
 
-Refusals with any other reason know no time. Callers by routes get `UNTIMED` then, if their
-status is 503; callers with a workspace's credential get no `Retry-After`.
+Refusals with any other reason have no time. The daemon's `entry/answers.py` gives each reason
+its HTTP status, 503 where it names no other. Callers by routes get `UNTIMED` with a 503 that
+has no time; callers with a workspace's credential get no `Retry-After` then.
 
-Times are chosen, not measured: 1 s where nothing that the daemon waits for tells when it
-changes, less where a probe or a heartbeat soon decides, and next to nothing where another
-server takes the request at once.
+All times but that of `overloaded` are chosen, not measured: 1 s where the daemon can't know
+when the cause ends, less where a probe or a heartbeat decides soon, and the shortest where
+another server can take the request at once. A longer time keeps callers away from servers with
+room; a shorter one has them refused again.
 """
 
 from wheatslip.outcome import NotRun, Reason
 
 # Seconds; the shortest wait that is sent, so that refused callers don't come back at once.
 SHORTEST = 0.05
-# Seconds; stands in where the refusal that a caller by routes gets knows no time.
+# Seconds; what a caller by routes gets with a refusal that has no time.
 UNTIMED = 0.1
 
 STOPPING = NotRun(Reason.DRAINING, 1.0)
@@ -49,7 +51,7 @@
 
 SERVER_UNKNOWN = NotRun(Reason.NOT_READY, 0.2)
 SERVER_LOST = NotRun(Reason.UNREACHABLE, 0.2)
-# The rest of the fleet stands: what waited here should go there at once.
+# Other servers have room: what waited here should go there at once.
 LOST_WHILE_WAITING = NotRun(Reason.UNREACHABLE, SHORTEST)
 FASTER_ELSEWHERE = NotRun(Reason.OVERLOADED, SHORTEST)
 EVICTED = NotRun(Reason.OVER_SHARE, 0.5)
--- a/packages/wheatslipd/wheatslipd/chain.py
+++ b/packages/wheatslipd/wheatslipd/chain.py
@@ -21,16 +21,16 @@
 class EntryRequest:
     """A caller's request on its way through the entry's filters.
 
-    The fields below `exchange` are filled in by the filters; see each for which.
+    The first two fields are set at the start, the others by the filter named beside each.
     """
 
     exchange: Exchange
-    arrived: float
-    trace: HopTrace = field(default_factory=HopTrace)
-    configuration: Configuration | None = None
-    workspace: Workspace | None = None
-    service: Service | None = None
-    call: Call | None = None
+    arrived: float  # seconds, monotonic
+    trace: HopTrace = field(default_factory=HopTrace)  # TraceFilter
+    configuration: Configuration | None = None  # ReadyFilter: what is in force for this request
+    workspace: Workspace | None = None  # IdentifyFilter; None by routes
+    service: Service | None = None  # AuthoriseFilter or RouteFilter
+    call: Call | None = None  # ClassifyFilter or RouteFilter
 
 
 Proceed = Callable[[EntryRequest], Awaitable[Outcome]]
--- a/packages/wheatslipd/wheatslipd/entry/answers.py
+++ b/packages/wheatslipd/wheatslipd/entry/answers.py
@@ -1,4 +1,4 @@
-"""How outcomes that are not a backend server's answer look in HTTP."""
+"""The HTTP answers for outcomes that are not a backend server's answer."""
 
 import math
 
@@ -22,8 +22,8 @@
     Reason.DUPLICATE: 409,
     Reason.KEY_TOO_OLD: 409,
 }
-NOT_RUN_DEFAULT = 503
-UNKNOWN_DEFAULT = 502
+NOT_RUN_DEFAULT = 503  # HTTP status
+UNKNOWN_DEFAULT = 502  # HTTP status
 RETRY_AFTER_MS = b"wheatslip-retry-after-ms"
 
 
@@ -55,7 +55,7 @@
             wait = outcome.retry_after or UNTIMED
             headers.append((b"retry-after", b"%.3f" % wait))
     elif isinstance(outcome, NotRun) and outcome.retry_after is not None:
-        # Retry-After knows whole seconds only; the exact time stands beside it.
+        # Retry-After has whole seconds only, so the exact time goes with it.
         headers.append((b"retry-after", b"%d" % math.ceil(outcome.retry_after)))
         headers.append((RETRY_AFTER_MS, b"%d" % math.ceil(outcome.retry_after * 1000)))
     await exchange.respond(ResponseHead(status, headers))
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -24,7 +24,7 @@
 KEY_HEADER = b"wheatslip-key"
 DEADLINE_HEADER = b"wheatslip-deadline-ms"
 DEPTH_HEADER = b"wheatslip-depth"
-MAX_DEPTH = 16
+MAX_DEPTH = 16  # calls in a chain; a longer one is most likely a loop. Chosen, not measured.
 BEARER = b"Bearer "
 # Methods that HTTP defines as safe: repeatable unless the caller names a kind.
 SAFE_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS"})
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class CountFilter:
-    """Counts and logs what became of each request."""
+    """Counts and logs the outcome of each request."""
 
     metrics: Metrics
     clock: Callable[[], float]
@@ -81,9 +81,9 @@
 class ReadyFilter:
     """Refuses everything while no configuration is in force or the daemon stops.
 
-    Load pattern: after a loss of power all callers ask at once, while each daemon waits for the
-    answers to its first reads. What comes in these moments waits with it; refused, it would
-    come back after a third of its time.
+    Load pattern: after a loss of power all callers send at once, while each daemon waits for
+    the answers to its first reads. Requests that come in these moments wait with it: refused, a
+    caller would come back only after a third of its time.
     """
 
     view: View
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -53,10 +53,10 @@
     """What the daemon's settings say of forwarding."""
 
     daemon: str  # this daemon's name
-    caller: bytes  # what `names.caller` tells backend servers of who calls
+    caller: bytes  # what backend servers get in `names.caller`
     names: HeaderNames
     answer_hold: int = 0  # bytes of an answer that are held until they are whole
-    by_routes: bool = False  # requests come by routes: there are no workspaces to tell apart
+    by_routes: bool = False  # requests come by routes, without workspaces
 
 
 @dataclass(frozen=True, slots=True)
@@ -241,14 +241,14 @@
             await connection.start_with_body(head, sending.replay)
             return
         head.headers.append((b"expect", b"100-continue"))
-        await connection.start(head, chunked=True, end=False)
+        await connection.start(head)
         if not await connection.wait_continue():
             return
         sending.attempts.can_resend = False
-        await connection.write(sending.replay, chunked=True)
+        await connection.write(sending.replay)
         async for chunk in sending.request.exchange.body.chunks():
-            await connection.write(chunk, chunked=True)
-        await connection.finish(chunked=True)
+            await connection.write(chunk)
+        await connection.finish()
 
     def _peer_head(self, sending: _Sending, chosen: Try) -> RequestHead:
         """The head of the request as it goes to the peer, with what its daemon must know."""
@@ -321,5 +321,5 @@
 
 
 def _bounded(seconds: float) -> float | None:
-    """A bound for the wire, where None says that there is none."""
+    """A bound for the wire, where None means that there is none."""
     return None if seconds == ANY_WAIT else round(seconds, TIME_DIGITS)
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -1,4 +1,4 @@
-"""The entry's filter for plain HTTP requests: the host and the path lead to a route."""
+"""The entry's filter for requests by routes: host and path of a request select one."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -91,7 +91,7 @@
                 head.headers.append((b"content-length", b"%d" % len(whole)))
             await connection.start_with_body(head, whole)
             return
-        await connection.start(head, chunked=True, end=False)
+        await connection.start(head)
         async for chunk in body.chunks():
-            await connection.write(chunk, chunked=True)
-        await connection.finish(chunked=True)
+            await connection.write(chunk)
+        await connection.finish()
--- a/packages/wheatslipd/wheatslipd/http/body.py
+++ b/packages/wheatslipd/wheatslipd/http/body.py
@@ -4,7 +4,9 @@
 from collections import deque
 from collections.abc import AsyncIterator, Callable
 
-HIGH_WATER = 64 * 1024  # bytes held before the socket is no longer read
+# Bytes held before the socket is no longer read; each request under way may hold as many.
+# Chosen, not measured.
+HIGH_WATER = 64 * 1024
 
 
 class BodyBroken(Exception):
--- a/packages/wheatslipd/wheatslipd/http/client.py
+++ b/packages/wheatslipd/wheatslipd/http/client.py
@@ -16,9 +16,14 @@
     encode_request,
 )
 
-INTERIM_LIMIT = 200
-UNACKNOWLEDGED_MS = 400  # that sent bytes may go without a sign of the other machine
-PROBE_SECONDS = 1  # silence after which it is asked for one, and time between the questions
+INTERIM_LIMIT = 200  # HTTP statuses below it announce the final response
+# Milliseconds for which sent bytes may be unacknowledged. Shorter, a few lost packets end a
+# connection whose request may have run; longer, requests wait for a lost machine. Chosen, not
+# measured.
+UNACKNOWLEDGED_MS = 400
+# Seconds without traffic after which the other machine is probed, and between two probes, of
+# which so many may be lost: the shortest that the system takes.
+PROBE_SECONDS = 1
 LOST_PROBES = 2
 
 
@@ -52,8 +57,10 @@
         self._until_close = False
         self._echo: tuple[bytes, bytes] | None = None
         self._skipping = False
-        self.fell_silent = False  # whether it ended as the other end acknowledged nothing
-        # Whether it fell silent so soon behind a request that this was not taken.
+        self.timed_out = (
+            False  # whether it ended because the other machine acknowledged nothing
+        )
+        # Whether it timed out so soon after a request that the request was not taken.
         self.request_unacknowledged = False
         self._sent_at = 0.0
         self.idle_since = 0.0
@@ -77,38 +84,24 @@
         """
         self._echo = (name, value)
 
-    async def start(self, head: RequestHead, *, chunked: bool, end: bool) -> None:
-        """Send a request head; `end` says that no body follows."""
-        self._method = head.method
-        self._sent_at = asyncio.get_running_loop().time()
-        self._busy = True
-        self._sent_all = end
-        self._body = None
-        loop = asyncio.get_running_loop()
-        self._response = loop.create_future()
-        self._continue = loop.create_future()
-        await self.send(encode_request(head, chunked=chunked))
+    async def start(self, head: RequestHead) -> None:
+        """Send the head of a request whose body follows by `write` and `finish`."""
+        self._begin(head, sent_all=False)
+        self._continue = asyncio.get_running_loop().create_future()
+        await self.send(encode_request(head, chunked=True))
 
     async def start_with_body(self, head: RequestHead, body: bytes) -> None:
         """Send a request whose whole body is at hand in one write."""
-        loop = asyncio.get_running_loop()
-        self._method = head.method
-        self._sent_at = loop.time()
-        self._busy = True
-        self._sent_all = True
-        self._body = None
-        self._response = loop.create_future()
-        self._continue = None
+        self._begin(head, sent_all=True)
         await self.send(encode_request(head, chunked=False) + body)
 
-    async def write(self, chunk: bytes, *, chunked: bool) -> None:
+    async def write(self, chunk: bytes) -> None:
         """Send a part of the body."""
-        await self.send(encode_chunk(chunk) if chunked else chunk)
+        await self.send(encode_chunk(chunk))
 
-    async def finish(self, *, chunked: bool) -> None:
+    async def finish(self) -> None:
         """The request is whole."""
-        if chunked:
-            await self.send(LAST_CHUNK)
+        await self.send(LAST_CHUNK)
         self._sent_all = True
 
     async def wait_continue(self) -> bool:
@@ -121,15 +114,25 @@
         assert self._response is not None
         return await self._response
 
+    def _begin(self, head: RequestHead, *, sent_all: bool) -> None:
+        loop = asyncio.get_running_loop()
+        self._method = head.method
+        self._sent_at = loop.time()
+        self._busy = True
+        self._sent_all = sent_all
+        self._body = None
+        self._response = loop.create_future()
+        self._continue = None
+
     # asyncio's callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and bound the silence of the other end's machine."""
+        """Keep the transport, and bound the time without a sign of the other machine."""
         super().connection_made(transport)
-        _bound_silence(transport.get_extra_info("socket"))
+        _bound_unacknowledged(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; what is malformed or unasked for ends the connection."""
+        """Feed the parser; what is malformed or not awaited ends the connection."""
         if not self._busy:
             self._break()
             return
@@ -146,10 +149,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail what is under way."""
         super().connection_lost(exc)
-        self.fell_silent = isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT
-        # A request that was taken is followed by probes, which tell only later.
+        self.timed_out = isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT
+        # Where a request was acknowledged only the probes time out, which takes longer.
         soon = asyncio.get_running_loop().time() - self._sent_at < PROBE_SECONDS
-        self.request_unacknowledged = self.fell_silent and soon
+        self.request_unacknowledged = self.timed_out and soon
         if self._body is not None and not self._body.complete:
             if exc is None and self._until_close:
                 self._body.finish()
@@ -239,9 +242,9 @@
             self._continue.set_result(False)
 
 
-def _bound_silence(sock: socket.socket | None) -> None:
-    """End the connection when the other end's machine is gone: bytes that it does not
-    acknowledge end it soon, and an idle connection is probed.
+def _bound_unacknowledged(sock: socket.socket | None) -> None:
+    """End the connection when the other machine is gone: bytes that it does not acknowledge end
+    it soon, and an idle connection is probed.
     """
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
--- a/packages/wheatslipd/wheatslipd/http/connection.py
+++ b/packages/wheatslipd/wheatslipd/http/connection.py
@@ -3,6 +3,8 @@
 import asyncio
 from typing import cast
 
+# Bounds of a message's head; above what callers send, so that one can't fill the memory.
+# Chosen, not measured.
 MAX_HEAD_BYTES = 32 * 1024
 MAX_HEADERS = 100
 
@@ -34,7 +36,7 @@
         return str(name[0]) if name else ""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake who waits to write."""
+        """Wake the writers that wait."""
         self.closed = True
         self.resume_writing()
 
--- a/packages/wheatslipd/wheatslipd/http/exchange.py
+++ b/packages/wheatslipd/wheatslipd/http/exchange.py
@@ -15,7 +15,8 @@
 )
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-HOLD_AT_MOST = 16 * 1024  # bytes of a response that wait for more before they are sent
+# Bytes of a response that wait for more before they are sent. Chosen, not measured.
+HOLD_AT_MOST = 16 * 1024
 
 
 @dataclass(slots=True, eq=False)
@@ -34,7 +35,7 @@
     _held_size: int = 0
 
     async def send_continue(self) -> None:
-        """Ask the sender for its body, if it waits to be asked."""
+        """Ask the sender for its body, if it waits for a 100 (Continue)."""
         if self.expects_continue:
             self.expects_continue = False
             await self.connection.send(CONTINUE)
@@ -49,9 +50,9 @@
         self._bodyless = self.head.method == b"HEAD" or head.status in NO_BODY_STATUSES
         needs_framing = not has_length and not self._bodyless
         self._chunked = needs_framing and not self.head.is_http_1_0
-        # A body that has not come yet may never be read, so the next request would not be
-        # found behind it. The other end must hear of the close with the response, or it
-        # sends its next request into a closing connection.
+        # A body that has not come yet may never be read, so the next request could not be found
+        # behind it. The response must announce the close, or the other end sends its next
+        # request into a closing connection.
         close = not self.head.keep_alive or not self.body.complete
         close = close or (needs_framing and self.head.is_http_1_0)
         self.head.keep_alive = not close
--- a/packages/wheatslipd/wheatslipd/http/messages.py
+++ b/packages/wheatslipd/wheatslipd/http/messages.py
@@ -5,7 +5,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that speak of one connection only (RFC 9110, 7.6.1).
+# Headers that concern one connection only (RFC 9110, 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -40,7 +40,7 @@
         return None
 
     def forwarded(self) -> Headers:
-        """The headers that travel on: neither hop-by-hop nor of our own making."""
+        """The headers that travel on: neither hop-by-hop nor wheatslip's own."""
         named = self._named_by_connection()
         return [
             (name, value)
--- a/packages/wheatslipd/wheatslipd/http/pool.py
+++ b/packages/wheatslipd/wheatslipd/http/pool.py
@@ -28,7 +28,7 @@
     ) -> ClientConnection | None:
         """A connection ready for a request; None if none can be had, so nothing was sent.
 
-        One that has rested for `longest_rest` seconds or more is closed instead of used.
+        One that was idle for `longest_rest` seconds or more is closed instead of used.
         """
         now = asyncio.get_running_loop().time()
         while self._idle:
@@ -44,12 +44,12 @@
     def give_back(self, connection: ClientConnection) -> None:
         """Keep the connection if it may be used again, close it otherwise.
 
-        Where one fell silent the idle ones most likely did too, and each would cost a request:
-        they go with it.
+        Where one timed out the idle ones most likely would, and each would cost a request: they
+        are closed with it.
         """
         if not connection.reusable:
             self._discard(connection)
-            if connection.fell_silent:
+            if connection.timed_out:
                 self.close()
             return
         connection.idle_since = asyncio.get_running_loop().time()
--- a/packages/wheatslipd/wheatslipd/http/server.py
+++ b/packages/wheatslipd/wheatslipd/http/server.py
@@ -14,11 +14,14 @@
 from wheatslipd.http.messages import RequestHead, ResponseHead, encode_response
 from wheatslipd.telemetry import logs
 
+# Requests of a connection that wait behind the present one before it is no longer read. Chosen,
+# not measured.
 MAX_PIPELINED = 8
-BACKLOG = 1024  # connections that wait to be accepted
+BACKLOG = 1024  # connections that wait to be accepted. Chosen, not measured.
+# Seconds until an idle connection is closed; longer than `pool.IDLE_SECONDS`, so that a client
+# of ours closes first. Chosen, not measured.
 IDLE_SECONDS = 60.0
-SWEEP_SECONDS = 10.0
-
+SWEEP_SECONDS = 10.0  # between two looks for idle connections. Chosen, not measured.
 
 Handler = Callable[[Exchange], Awaitable[None]]
 
@@ -242,7 +245,7 @@
         return finished
 
     def _sweep(self) -> None:
-        """Close connections that were idle for long. One timer serves all of them."""
+        """Close connections that are idle for too long. One timer serves all of them."""
         loop = asyncio.get_running_loop()
         oldest = loop.time() - IDLE_SECONDS
         for connection in list(self._connections):
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -268,11 +268,11 @@
         server, port = await raw_server(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         pool = ConnectionPool(HOST, port, 4)
         connection = await pool.take(1.0)
-        await connection.start(RequestHead(b"POST", b"/"), chunked=True, end=False)
+        await connection.start(RequestHead(b"POST", b"/"))
         response = await connection.response()
         assert response.head.status == 503
-        await connection.write(b"rest", chunked=True)
-        await connection.finish(chunked=True)
+        await connection.write(b"rest")
+        await connection.finish()
         assert not connection.reusable
         pool.give_back(connection)
         server.close()
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -78,7 +78,7 @@
         used = await pool.take(1.0)
         # What the loop says of a socket whose bytes were not acknowledged in time.
         used.connection_lost(OSError(errno.ETIMEDOUT, "timed out"))
-        assert used.fell_silent and not used.request_unacknowledged
+        assert used.timed_out and not used.request_unacknowledged
         pool.give_back(used)
         fresh = await pool.take(1.0)
         assert fresh not in connections
