--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -1,8 +1,8 @@
-"""A daemon's copy of what the platform holds for all: the head, its bundle and the list.
+"""A daemon's copy of what the platform holds for all: the list, the head with its bundle, and
+the zone drains.
 
-It answers followers with what they lack. Pure: it is filled and asked by the tasks of the
-daemon, which bring the time along. The platform stays the only store; this is a cache that
-starts empty with the process.
+It also works out what a follower lacks. Pure: the daemon's tasks fill it and give the time. The
+platform stays the only store; the copy starts empty with the process.
 """
 
 from collections import deque
@@ -17,7 +17,11 @@
 from wheatslip.config.zonedrains import ZoneDrains
 from wheatslip.store.instances import Instance
 
+# Differences of bundles that are kept; a follower that lacks more gets the whole bundle.
+# Chosen, not measured.
 KEPT_DELTAS = 64
+# Changes of the list that are kept; a follower that lacks more gets the whole list. Chosen, not
+# measured.
 KEPT_LIST_CHANGES = 2000
 UNKNOWN = -1  # version of zone drains that are not known
 
@@ -42,22 +46,22 @@
 
 
 class Update(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a follower lacks. `as_of` is the unix time, by a watcher's clock, at which the
-    platform last answered one whose watch of the head is in place; `checked` that at which it
-    last confirmed the list to a watcher, or the watcher learned that it is down. With `whole`
-    the list is complete, else it holds changes. Either `signed` or `deltas` leads to the bundle
-    of `head`. `drains` are the emptied zones, if the follower's are older.
+    """What a follower lacks.
+
+    `as_of` is the unix time, by a watcher's clock, at which the platform last answered a
+    watcher whose watch of the head is in place. `checked` is the time at which the platform
+    last confirmed the list to a watcher, or did not answer it.
     """
 
     as_of: float
     checked: float = 0.0
-    listed: int = 0
+    listed: int = 0  # version of the list up to which `changes` lead
     changes: tuple[ListChange, ...] = ()
-    whole: bool = False
-    head: Head | None = None
-    signed: SignedBundle | None = None
+    whole: bool = False  # `changes` are the whole list
+    head: Head | None = None  # if the follower's is older
+    signed: SignedBundle | None = None  # the bundle of `head`, unless `deltas` lead to it
     deltas: tuple[BundleDelta, ...] = ()
-    drains: ZoneDrains | None = None
+    drains: ZoneDrains | None = None  # if the follower's are older
 
 
 class FeedCache:
@@ -80,10 +84,10 @@
     def take_list(
         self, listed: int, changes: Iterable[ListChange], *, whole: bool
     ) -> list[ListChange]:
-        """Take in the whole list or changes of it, up to version `listed`.
+        """Take in the whole list or changes of it, up to version `listed`; returns what is new.
 
-        Returns what is new: a list that was read in pages may hold later states than its
-        version says, and the changes that led to them come again.
+        A list that was read in pages may hold later states than its version says. The changes
+        that led to them come again, and are left out.
         """
         taken = []
         if whole:
@@ -93,7 +97,7 @@
             self._complete_since = listed
         for change in changes:
             if not whole and change.version <= self.listed:
-                continue  # brought by another way before
+                continue  # came by another way before
             if change.version < self.version_of(change.name):
                 continue
             taken.append(change)
@@ -111,8 +115,8 @@
     def is_late(self, update: Update) -> bool:
         """Whether an update's list is older than this one.
 
-        One that was asked for beside a stream may come after newer ones; taken in, it would set
-        instances back, and what came between would never be sent again.
+        An update of another daemon than the parent may come after newer ones. Taken in, it
+        would set instances back, and the changes between would not be sent again.
         """
         return update.listed < self.listed
 
@@ -135,9 +139,9 @@
         self._signed = signed
 
     def take_drains(self, drains: ZoneDrains) -> bool:
-        """Take in the emptied zones; whether they differ from before. Older ones are ignored.
+        """Take in the zone drains; whether they differ from before. Older ones are ignored.
 
-        The version is kept where nothing differs, so that followers need not hear of it.
+        The version is kept where nothing differs, so that nothing is sent to followers.
         """
         known = self.drains
         if known is not None and (
@@ -157,7 +161,7 @@
         return bundle
 
     def cursor(self, name: str) -> Cursor:
-        """What this daemon has, to follow another."""
+        """What this daemon has, for the daemon that it follows."""
         drained = UNKNOWN if self.drains is None else self.drains.version
         return Cursor(name, self.head.version if self.head else 0, self.listed, drained)
 
--- a/packages/wheatslip/wheatslip/distribution/headage.py
+++ b/packages/wheatslip/wheatslip/distribution/headage.py
@@ -1,23 +1,20 @@
-"""Tells when a daemon loses, and finds again, the way to the newest head.
-
-Pure: it is given the age of the last confirmation, and says what has changed.
-"""
+"""Decides when news of the head have stopped coming, and when they come again. Pure."""
 
 from enum import Enum
 
 
 class AgeChange(Enum):
-    """What a look shows that the look before did not."""
+    """What has changed since the last look."""
 
     LOST = "lost"
     FOUND = "found"
 
 
 class HeadAge:
-    """Remembers whether the way to the newest head was lost at the last look."""
+    """Compares the age of the last confirmation of the head with a bound."""
 
     def __init__(self, lost_after: float):
-        """`lost_after`: seconds without a confirmation."""
+        """`lost_after`: seconds without a confirmation after which the news are lost."""
         self._lost_after = lost_after
         self._is_lost = False
 
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -325,7 +325,7 @@
             rng,
             self._monotonic,
             decode,
-            self.feed.removal_turn,
+            self.feed.removal_rank,
             self.feed.cache.version_of,
         )
 
--- a/packages/wheatslipd/wheatslipd/feed/__init__.py
+++ b/packages/wheatslipd/wheatslipd/feed/__init__.py
@@ -1,6 +1,25 @@
-"""Keeps the daemon's copy of the platform's objects up to date.
+"""Keeps the daemon's copy of the platform's objects up to date: how news reaches a daemon.
 
-`feed` wires the parts: `intake` takes news in, whoever brings them; `reader` asks the platform
-once, `watching` watches it; `following` follows another daemon, `hints` asks one that knows
-more; `place` says which of these this daemon does.
+The platform holds three things for all daemons: the list of instances, the head, which names
+the configuration in force, and the zone drains. Each daemon has a copy of them, a
+`wheatslip.distribution.feedcache.FeedCache`, and fires events on the bus when it changes.
+
+News takes one of four ways into the copy:
+
+- A *watcher* reads the platform for its zone. The first two daemons of each zone are watchers;
+  every daemon works that out from the list (`place`). Both watch the head and the zone drains,
+  the first one watches the list too (`watching`).
+- Every other daemon is a *follower*: it keeps a stream open to one daemon of its zone, its
+  *parent*, which sends updates from its own copy. `relay` serves them; `following` takes them,
+  and changes the parent when one fails or has no news. Followers of followers make a tree.
+- The watchers of all zones follow each other in one *ring* besides, so that a zone whose
+  watchers the platform does not answer gets its news from another zone.
+- A request or its answer may carry a *hint*: the version that the daemon on the other side has
+  in force. Where that is newer, `hints` asks that daemon, and then the platform.
+
+A daemon that starts reads the platform once (`reader`), because only the list tells whom to
+follow. It reads again when no parent has news.
+
+`intake` checks whatever comes, by any way, and is the only writer of the copy; `proof` decides
+what may be put in force. `feed` makes the parts and runs them.
 """
--- a/packages/wheatslipd/wheatslipd/feed/codec.py
+++ b/packages/wheatslipd/wheatslipd/feed/codec.py
@@ -1,7 +1,6 @@
-"""The messages of our gRPC services on the wire: msgspec structs as MessagePack.
+"""The codec of the gRPC messages between daemons: msgspec structs as MessagePack.
 
-grpclib takes any codec; with this one the messages are the same typed structs as elsewhere,
-and nothing has to be generated.
+With it the messages are the typed structs of the library, and no code is generated.
 """
 
 from typing import Any
@@ -16,7 +15,7 @@
     __content_subtype__ = "msgpack"
 
     def __init__(self) -> None:
-        self.encoded_bytes = 0
+        self.encoded_bytes = 0  # bytes of all messages encoded so far
 
     def encode(self, message: Any, message_type: Any) -> bytes:
         """The bytes of a message."""
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -1,7 +1,6 @@
-"""The task that keeps the daemon's copy of the platform's objects: a watcher reads the
-platform, every other daemon follows another one.
+"""Makes the parts of the feed and runs them; the package describes how they work together.
 
-It owns the platform's client and the cache; controllers hear of news by events on the bus.
+It owns the platform's client and the cache. Controllers learn of news by events on the bus.
 """
 
 import asyncio
@@ -28,7 +27,7 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-AGE_LOOK_SECONDS = 1.0  # between looks at how long ago the head was confirmed
+AGE_LOOK_SECONDS = 1.0  # between looks at the age of the head; chosen, not measured
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,20 +84,20 @@
 
     @property
     def head_age(self) -> float | None:
-        """Seconds since a daemon that reads the platform last had an answer on the head, as far
-        as it was told here and by that daemon's clock; None if it never was.
+        """Seconds since the platform last confirmed the head to a watcher, by the watcher's
+        clock and as far as the news of it came here; None if none came.
         """
-        seen = self.cache.as_of
-        return self._unix() - seen if seen else None
+        as_of = self.cache.as_of
+        return self._unix() - as_of if as_of else None
 
-    def removal_turn(self, zone: str) -> int | None:
-        """How many daemons are to remove dead entries of `zone` before this one; None if it
-        does not read the platform.
+    def removal_rank(self, zone: str) -> int | None:
+        """How many daemons come before this one in removing dead entries of `zone`; None if
+        this one does not read the platform.
         """
-        return self._place.removal_turn(zone)
+        return self._place.removal_rank(zone)
 
     def check_head(self, version: int, address: str = "") -> None:
-        """Message: the daemon at `address` knows this newer version."""
+        """Message: the daemon at `address` has this newer version in force."""
         self.hints.give(version, address)
 
     async def run(self) -> None:
@@ -107,21 +106,23 @@
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._keep_up())
                 group.create_task(self.hints.run())
-                group.create_task(self._tell_age())
+                group.create_task(self._watch_age())
         finally:
             await self.client.close()
 
-    async def _tell_age(self) -> None:
-        """Log when the way to the newest head is lost and when it is found again."""
+    async def _watch_age(self) -> None:
+        """Log when news of the head stop coming, and when they come again."""
         pace = self._pace
-        watch = HeadAge(2 * (pace.watch_check or pace.watch) + 2 * HEARTBEAT_SECONDS)
+        # Two checks of a watch and two heartbeats.
+        lost_after = 2 * (pace.watch_check or pace.watch) + 2 * HEARTBEAT_SECONDS
+        head_age = HeadAge(lost_after)
         while True:
             await asyncio.sleep(AGE_LOOK_SECONDS)
             age = self.head_age
             if age is None:
                 continue
             way = self.parent or "platform"
-            match watch.look(age):
+            match head_age.look(age):
                 case AgeChange.LOST:
                     logs.warning("head-unconfirmed", age=round(age, 1), way=way)
                 case AgeChange.FOUND:
@@ -130,7 +131,8 @@
     async def _keep_up(self) -> None:
         await self._reader.read_first()
         if self._pace.settle and not self._place.is_known:
-            # All of the zone may be starting now. Once they are listed, most follow others.
+            # All daemons of the zone may be starting now. Once they are listed, most of them
+            # follow others.
             await asyncio.sleep(self._pace.settle * (0.75 + 0.5 * self._rng.random()))
             await self._reader.read_settled_list()
         while True:
@@ -141,9 +143,7 @@
                 await self._follower.run()
 
     async def _watch_platform(self) -> None:
-        """Watch what operators want until this daemon's role changes, and the list if no other
-        of the zone does; follow the watchers before this one besides.
-        """
+        """Watch the platform and follow the ring until this daemon's role changes."""
         has_list = self._place.watches_list
         logs.info("watching-platform", has_list=has_list)
         jobs = [self._state_watch.run(), self._follower.run()]
--- a/packages/wheatslipd/wheatslipd/feed/hints.py
+++ b/packages/wheatslipd/wheatslipd/feed/hints.py
@@ -1,4 +1,4 @@
-"""Follows hints of a newer version that requests and their answers carry."""
+"""Acts on hints: requests and answers carry the version that their sender has in force."""
 
 import asyncio
 from contextlib import aclosing, suppress
@@ -12,17 +12,23 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-HINT_PATIENCE = 0.25  # seconds that the relay gets before a hint is followed
-ASK_SECONDS = 1.5  # that the daemon which gave a hint gets before the platform is read
-HINT_SPACING = 1.0  # seconds between reads of the platform that hints give rise to
+# Seconds, half to one and a half times, in which the version may come by the tree before the
+# daemon that gave the hint is asked. Chosen, not measured.
+HINT_DELAY = 0.25
+# Seconds in which the daemon that gave the hint may send the version before the platform is
+# read. Chosen, not measured.
+HINT_TIMEOUT = 1.5
+# Seconds between two hints that are acted on, which bounds the reads of the platform that hints
+# cause. Chosen, not measured.
+HINT_SPACING = 1.0
 
 
 class Hints:
-    """Asks the daemon that gave a hint, if the relay did not bring the version in time, and
-    reads the platform only if that one does not bring it either.
+    """Gets the version that a hint names, if the tree does not bring it in time.
 
-    The platform sends the whole configuration, and to all daemons of a zone at once when
-    they hear of it in the same moment: 44 such reads of 235 kB were seen in one second.
+    Asks the daemon that gave the hint first. The platform is the last resort: it would send the
+    whole configuration, and to all daemons of a zone at once, because they get their hints in
+    the same moment.
     """
 
     def __init__(
@@ -41,8 +47,8 @@
         self._tls = tls
         self._rng = rng
         self._given = asyncio.Event()
-        self._version = 0
-        self._address = ""
+        self._version = 0  # the newest that was hinted
+        self._address = ""  # of the daemon that gave the last hint; empty: unknown
 
     def give(self, version: int, address: str = "") -> None:
         """Message: the daemon at `address` knows this newer version."""
@@ -55,24 +61,24 @@
         while True:
             await self._given.wait()
             self._given.clear()
-            await asyncio.sleep(HINT_PATIENCE * (0.5 + self._rng.random()))
+            await asyncio.sleep(HINT_DELAY * (0.5 + self._rng.random()))
             if self._intake.version >= self._version:
                 continue
             with suppress(TimeoutError):
-                async with asyncio.timeout(ASK_SECONDS):
+                async with asyncio.timeout(HINT_TIMEOUT):
                     await self._ask(self._address)
             if self._intake.version < self._version:
                 await self._reader.read_head()
             await asyncio.sleep(HINT_SPACING)
 
     async def _ask(self, address: str) -> None:
-        """Take one update from another daemon."""
+        """Take one update from the daemon at `address`."""
         if not address:
             return
-        known = (i for i in self._intake.cache.instances.values() if i.address == address)
-        # One that has just started knows no list; daemons commonly share their ports.
-        stranger = Instance("", "", "", address, 0, 0, self._relay.port)
-        instance = next(known, stranger)
+        listed = (i for i in self._intake.cache.instances.values() if i.address == address)
+        # A daemon that has just started has no list. All daemons usually have the same ports.
+        guessed = Instance("", "", "", address, 0, 0, self._relay.port)
+        instance = next(listed, guessed)
         logs.info("asking-daemon", address=address, hinted_version=self._version)
         cursor = self._intake.cache.cursor(self._name)
         async with aclosing(follow_parent(instance, cursor, self._tls)) as updates:
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -1,7 +1,7 @@
-"""Takes news into the daemon's copy, whoever brings them, and tells the controllers.
+"""Takes news into the daemon's copy, whichever way they came, and fires the events.
 
-The only writer of the cache: what the platform answered and what another daemon sent go
-through the same checks.
+The only writer of the cache: answers of the platform and updates of other daemons go through
+the same checks.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.zonedrains import ZoneDrain, ZoneDrains, decode_drain, with_changes
 from wheatslip.distribution.feedcache import FeedCache, ListChange, Update
-from wheatslip.store import instances as lists
+from wheatslip.store.instances import decode_instance
 from wheatslip.store.objects import Listing, StoredObject
 
 from wheatslipd.controllers.bus import Bus
@@ -38,8 +38,8 @@
         unix: Callable[[], float],
         on_gap: Callable[[int], None],
     ):
-        """`proof` tells what may be believed; `on_gap` hears of a version that the
-        differences sent for it do not lead to.
+        """`proof` decides what may be put in force. `unix` gives the time in seconds. `on_gap`
+        is called with a version when the differences sent for it do not lead to it.
         """
         self.cache = cache
         self._relay = relay
@@ -51,25 +51,24 @@
 
     @property
     def version(self) -> int:
-        """Of the bundle in the cache; 0: none."""
+        """Version of the bundle in the cache; 0: none."""
         return self.cache.head.version if self.cache.head else 0
 
     def confirm(self) -> None:
-        """The platform has just confirmed the list, or was found down: then no one can change
-        it, as far as we can tell.
+        """Message: the platform has just confirmed the list, or did not answer.
+
+        Without an answer the list counts as confirmed, because then no one can change it.
         """
         self.cache.checked = self._unix()
 
     def confirm_head(self) -> None:
-        """The platform has just confirmed the head."""
+        """Message: the platform has just confirmed the head."""
         self.cache.as_of = self._unix()
 
     def take_read_list(self, listing: Listing) -> None:
-        """Take a list that was read, whole."""
+        """Take a whole list that was read."""
         if not listing.stale:
             self.confirm()
-        elif listing.version < self.cache.listed:
-            return
         self.take_listing(listing)
 
     def take_listing(self, listing: Listing) -> None:
@@ -80,7 +79,7 @@
         self._take_list(listing.version, changes, whole=listing.whole)
 
     def take_drain_listing(self, listing: Listing) -> None:
-        """Take the emptied zones, or changes of them, as the platform told them."""
+        """Take the zone drains, or changes of them, that the platform answered."""
         changes = [(item.name, self._as_drain(item)) for item in listing.items]
         known = self.cache.drains
         drains = with_changes(known, changes, listing.version, whole=listing.whole)
@@ -95,7 +94,7 @@
             self._take_list(update.listed, list(update.changes), whole=update.whole)
         self.cache.checked = max(self.cache.checked, update.checked)
         if update.as_of > self.cache.as_of:
-            # Not announced: followers hear of it with their next heartbeat.
+            # Not announced: followers get it with their next heartbeat.
             self.cache.as_of = update.as_of
         if update.head is None or update.head.version <= self.version:
             return
@@ -105,7 +104,7 @@
         self.take_deltas(update.head, update.deltas)
 
     def take_deltas(self, head: Head, deltas: tuple[BundleDelta, ...]) -> None:
-        """Take differences that lead to the bundle of `head`."""
+        """Take differences that should lead to the bundle of `head`."""
         bundle = self.cache.with_deltas(deltas)
         if bundle is None:
             logs.warning("delta-does-not-fit", version=head.version)
@@ -133,22 +132,19 @@
         self._relay.announce()
 
     def _take_drains(self, drains: ZoneDrains) -> None:
-        was_known = self.cache.drains is not None
-        if self.cache.take_drains(drains) or not was_known:
+        if self.cache.take_drains(drains):
             self._relay.announce()
             self._bus.fire(zones_drained(drains))
 
     def _as_drain(self, item: StoredObject) -> ZoneDrain | None:
-        """The drain that stands in an object; None: the zone is restored, or no one whom we
-        believe asked for it.
-        """
+        """The drain in an object; None: the zone is restored, or the drain is refused."""
         if item.deleted:
             return None
         match decode_drain(item.name, item.value):
             case Ok(drain):
                 pass
             case Err(why):
-                # That it stands there is what counts, where the platform is trusted.
+                # Where the platform is trusted, the object's existence alone drains the zone.
                 logs.warning("zone-drain-unreadable", zone=item.name, error=why)
                 drain = ZoneDrain(item.name)
         if self._proof.drain(drain):
@@ -157,7 +153,7 @@
         return None
 
     def _take_signed(self, head: Head, signed: SignedBundle) -> None:
-        """Prove a bundle, whoever sent it, and put it to use."""
+        """Check a bundle, whichever way it came, and put it in force."""
         match self._proof.bundle(signed):
             case Ok(bundle) if _is_named_by(bundle, head):
                 self.cache.take_bundle(head, signed, bundle)
@@ -177,7 +173,7 @@
 def _as_change(item: StoredObject) -> ListChange | None:
     if item.deleted:
         return ListChange(item.version, item.name, None)
-    match lists.decode_instance(item.value):
+    match decode_instance(item.value):
         case Ok(instance):
             return ListChange(item.version, item.name, instance)
         case Err(why):
--- a/packages/wheatslipd/wheatslipd/feed/proof.py
+++ b/packages/wheatslipd/wheatslipd/feed/proof.py
@@ -1,4 +1,4 @@
-"""What makes a daemon believe what it is sent, whoever brought it."""
+"""Checks whether a bundle or a zone drain may be put in force, whichever way it came."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -11,14 +11,15 @@
 
 from wheatslipd.settings import ConfigurationSource, Settings
 
-TRUSTED_BUNDLE_BYTES = 16 * 1024 * 1024  # of one that the platform vouches for
+# Longest bundle from a platform that is trusted without signatures. Chosen, not measured.
+TRUSTED_BUNDLE_BYTES = 16 * 1024 * 1024
 
 
 class Proof(Protocol):
-    """Tells what may be believed."""
+    """Decides what may be put in force."""
 
     def bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
-        """The bundle, if it may be put in force."""
+        """The bundle, if it may be put in force; the error is a sentence."""
 
     def drain(self, drain: ZoneDrain) -> bool:
         """Whether a zone may be emptied."""
@@ -26,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyringProof:
-    """Believes what operators have signed whose keys stand in a folder: two a bundle, and one
-    that empties a zone, as that can't wait for a second.
+    """Accepts what operators have signed whose keys are in a folder.
 
-    Signatures need a library that takes long to load, so it is imported when it is needed. The
-    keyring is read each time, so that a new operator's key needs no restart.
+    A bundle needs two signatures. A zone drain needs one, because it is urgent. The keyring is
+    read each time, so that a new operator's key needs no restart. The library for signatures
+    takes long to load, so it is imported on first use.
     """
 
     keyring: Path
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrustedPlatform:
-    """Believes anything: the platform lets only operators write."""
+    """Accepts everything: only operators can write at the platform."""
 
     def bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
         """The bundle, if it can be read."""
