--- a/packages/wheatslipd/wheatslipd/feed/reader.py
+++ b/packages/wheatslipd/wheatslipd/feed/reader.py
@@ -5,11 +5,16 @@
 import msgspec
 from result import Err, Ok
 from wheatslip.config.deltas import BundleDelta
-from wheatslip.config.head import BUNDLE_KIND, DELTA_KIND, Head, bundle_name
-from wheatslip.config.head import KIND as HEAD_KIND
-from wheatslip.config.head import NAME as HEAD_NAME
-from wheatslip.config.zonedrains import KIND as ZONE_DRAIN_KIND
-from wheatslip.store.instances import KIND as INSTANCE_KIND
+from wheatslip.config.head import (
+    BUNDLE_KIND,
+    DELTA_KIND,
+    HEAD_KIND,
+    HEAD_NAME,
+    Head,
+    bundle_name,
+)
+from wheatslip.config.zonedrains import ZONE_DRAIN_KIND
+from wheatslip.store.instances import INSTANCE_KIND
 from wheatslip.store.objects import StoredObject
 
 from wheatslipd.feed.access import PlatformAccess, log_trouble
--- a/packages/wheatslipd/wheatslipd/feed/watching.py
+++ b/packages/wheatslipd/wheatslipd/feed/watching.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from wheatslip.config.head import KIND as HEAD_KIND
-from wheatslip.config.zonedrains import KIND as ZONE_DRAIN_KIND
-from wheatslip.store.instances import KIND as INSTANCE_KIND
+from wheatslip.config.head import HEAD_KIND
+from wheatslip.config.zonedrains import ZONE_DRAIN_KIND
+from wheatslip.store.instances import INSTANCE_KIND
 from wheatslip.store.objects import Unavailable
 
 from wheatslipd.feed.access import PlatformAccess, log_trouble
