--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,7 @@
-"""Runs one soak: `python -m soak --seed 7 --minutes 1`; exit code 0 if all promises held."""
+"""Runs one soak: `python -m soak --seed 7 --minutes 1`; exit code 0 if all promises held.
+
+With `--other-version PATH` half of the daemons run the code of another checkout.
+"""
 
 import argparse
 import asyncio
@@ -10,7 +13,7 @@
 from wheatslip.config.bundle import credential_digest
 
 from demo.operators import Desk
-from soak.course import Step, draw
+from soak.course import Step, beside_other_version, draw
 from soak.history import History, Ran, broken_promises
 from soak.installation import SERVICE, SLOTS, Installation
 from standins.caller import Caller, Told
@@ -22,29 +25,41 @@
 INSTANCES = 6
 CALLS_PER_SECOND = 40.0
 LOOK_SECONDS = 0.2  # between two looks at the daemons
-LAST_CALLS = 50  # after the course, all of which must be answered
+LAST_CALLS = 50  # when all faults are over; all of them must be answered
 SECONDS_A_MINUTE = 60.0
 MORE_SETTINGS = "[control]\nwatch = 1s\nlist-watch = 1s\n[entry]\nwarm-up = 0s\n"
 
 
-async def soak(folder: Path, seed: int, seconds: float) -> History:
-    """Run the course of a seed, and return what was seen."""
+async def soak(
+    folder: Path, seed: int, seconds: float, other_version: Path | None = None
+) -> History:
+    """Run the course of a seed, and return what was seen. With another version's checkout it
+    is the course for two versions side by side, which takes as long as it does.
+    """
+    plans = make_plans(other_version)
+    steps, updates = _course(plans, seed, seconds)
     cluster = Cluster(folder, MORE_SETTINGS)
     history = History()
     await cluster.open()
     try:
         digest = credential_digest(SECRET)
         one = Installation(cluster, Desk(folder), history, digest)
-        await one.prepare(_plans())
+        await one.prepare(plans)
         caller = Caller(cluster.session, WORKSPACE, SECRET, Random(f"calls {seed}"))
-        steps = draw(seed, seconds, list(cluster.members), ZONES)
         looking = asyncio.create_task(_look(one))
-        asking = asyncio.create_task(_ask(caller, cluster, seconds))
+        over = asyncio.Event()
+        asking = asyncio.create_task(_ask(caller, cluster, seconds, over))
         await asyncio.gather(*(_carry_out(one, step) for step in steps))
+        if updates:
+            await one.calm()
+            await _ask_in_calm(caller, cluster, history)
+            one.use_own_code()
+            await asyncio.gather(*(_carry_out(one, step) for step in updates))
+        over.set()
         await asking
         await one.calm()
         looking.cancel()
-        await _ask_at_the_end(caller, cluster, history)
+        await _ask_in_calm(caller, cluster, history)
         await _collect(one, caller, history)
     finally:
         codes = await cluster.close()
@@ -53,11 +68,26 @@
     return history
 
 
-def _plans() -> list[Plan]:
-    return [
-        Plan(f"papers-{number + 1}", "papers", ZONES[number % len(ZONES)], SLOTS, SERVICE)
-        for number in range(INSTANCES)
-    ]
+def make_plans(other_version: Path | None = None) -> list[Plan]:
+    """The instances; with another version's checkout, half of the daemons run its code."""
+    plans = []
+    for number in range(INSTANCES):
+        zone = number % len(ZONES)
+        is_other = (number // len(ZONES) + zone) % 2 == 0
+        checkout = other_version if is_other else None
+        plans.append(
+            Plan(f"papers-{number + 1}", "papers", ZONES[zone], SLOTS, SERVICE, checkout)
+        )
+    return plans
+
+
+def _course(plans: list[Plan], seed: int, seconds: float) -> tuple[list[Step], list[Step]]:
+    """The steps, and those that update the other version's daemons, if there are any."""
+    others = [plan.name for plan in plans if plan.checkout is not None]
+    own = [plan.name for plan in plans if plan.checkout is None]
+    if others:
+        return beside_other_version(others, own, ZONES)
+    return draw(seed, seconds, own, ZONES), []
 
 
 async def _carry_out(one: Installation, step: Step) -> None:
@@ -75,12 +105,14 @@
         await asyncio.sleep(LOOK_SECONDS)
 
 
-async def _ask(caller: Caller, cluster: Cluster, seconds: float) -> None:
-    """Traffic at all entries, whether their daemons run or not, on connections kept open."""
+async def _ask(caller: Caller, cluster: Cluster, seconds: float, over: asyncio.Event) -> None:
+    """Traffic at all entries, whether their daemons run or not, on connections kept open, for
+    so many seconds and until the course is over.
+    """
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     tasks = set()
-    while loop.time() < end:
+    while loop.time() < end or not over.is_set():
         await asyncio.sleep(caller.rng.expovariate(CALLS_PER_SECOND))
         member = caller.rng.choice(list(cluster.members.values()))
         once = caller.rng.random() < 0.5
@@ -94,7 +126,7 @@
     await asyncio.gather(*tasks)
 
 
-async def _ask_at_the_end(caller: Caller, cluster: Cluster, history: History) -> None:
+async def _ask_in_calm(caller: Caller, cluster: Cluster, history: History) -> None:
     for _ in range(LAST_CALLS):
         member = caller.rng.choice(list(cluster.members.values()))
         port = member.instance.entry_port
@@ -114,12 +146,20 @@
 def main() -> int:
     """Run the soak that the command line asks for; returns the exit code."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
-    parser.add_argument("--seed", type=int, required=True)
+    parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--minutes", type=float, default=1.0)
+    parser.add_argument(
+        "--other-version",
+        type=Path,
+        metavar="PATH",
+        help="root of another checkout: half of the daemons run its code",
+    )
     options = parser.parse_args()
+    if options.other_version and not (options.other_version / "packages/wheatslipd").is_dir():
+        parser.error(f"{options.other_version} is not the root of a checkout")
     with tempfile.TemporaryDirectory() as folder:
         seconds = options.minutes * SECONDS_A_MINUTE
-        history = asyncio.run(soak(Path(folder), options.seed, seconds))
+        history = asyncio.run(soak(Path(folder), options.seed, seconds, options.other_version))
     told = [one.told for one in history.asked]
     counts = ", ".join(f"{told.count(word)} {word.value}" for word in Told)
     print(
--- a/soak/course.py
+++ b/soak/course.py
@@ -14,6 +14,7 @@
 PAUSE = 1.5  # seconds between the begins of two faults, mean
 SHORTEST = 0.5  # seconds that a fault lasts
 LONGEST = 4.0
+RESTART = 3.0  # seconds from one planned restart to the next
 
 
 class Fault(StrEnum):
@@ -81,6 +82,34 @@
     return steps
 
 
+def beside_other_version(
+    others: Sequence[str], own: Sequence[str], zones: Sequence[str]
+) -> tuple[list[Step], list[Step]]:
+    """The course for a fleet of which `others` run another version's code: what is done while
+    both run, and the updates of `others`, with a change of the configuration behind them.
+    """
+    begin, restarts = 26.0, [*others, *own]
+    steps = [
+        Step(2.0, Fault.ROLLOUT, "", 1.0),
+        Step(6.0, Fault.EMPTY_ZONE, zones[0], 4.0),
+        Step(13.0, Fault.DRAIN, others[0], 2.0),
+        Step(16.0, Fault.DRAIN, own[0], 2.0),
+        Step(22.0, Fault.ROLLOUT, "", 1.0),
+        *_restarts(restarts, begin),
+        Step(begin + RESTART * len(restarts), Fault.EMPTY_ZONE, zones[1], 4.0),
+    ]
+    updates = _restarts(others, FIRST)
+    return steps, [*updates, Step(updates[-1].end + RESTART, Fault.ROLLOUT, "", 1.0)]
+
+
+def _restarts(names: Sequence[str], begin: float) -> list[Step]:
+    """Planned stops of daemons, one after the other."""
+    return [
+        Step(begin + RESTART * number, Fault.STOP, name, 1.0)
+        for number, name in enumerate(names)
+    ]
+
+
 def _place(
     rng: Random,
     fault: Fault,
--- a/soak/installation.py
+++ b/soak/installation.py
@@ -5,7 +5,7 @@
 import time
 from collections import defaultdict
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 
 import aiohttp
 import msgspec
@@ -129,6 +129,11 @@
             case Fault.EMPTY_ZONE:
                 await self._restore(step.where)
 
+    def use_own_code(self) -> None:
+        """Let all daemons that start from now on run the code of this checkout."""
+        for member in self.cluster.members.values():
+            member.plan = replace(member.plan, checkout=None)
+
     def _say(self, what: str) -> None:
         print(f"{self.now:6.1f} s  {what}", flush=True)
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -4,6 +4,7 @@
 """
 
 import asyncio
+import os
 import re
 import signal
 import sys
@@ -33,13 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One backend server to start."""
+    """One backend server to start, and the daemon beside it. `checkout` is the root of the
+    checkout whose code the daemon runs; None: this one's.
+    """
 
     name: str
     pool: str
     zone: str
     slots: int = 12
     service: float = 0.004
+    checkout: Path | None = None
 
 
 class Running:
@@ -91,14 +95,22 @@
         self._changed.set()
 
 
-async def start(name: str, *arguments: str) -> Running:
-    """Start a Python module with arguments."""
+def python_path(checkout: Path) -> str:
+    """The value of PYTHONPATH with which a process runs the code of another checkout."""
+    packages = [str(path) for path in sorted(checkout.resolve().glob("packages/*"))]
+    return os.pathsep.join([*packages, *filter(None, [os.environ.get("PYTHONPATH")])])
+
+
+async def start(name: str, *arguments: str, checkout: Path | None = None) -> Running:
+    """Start a Python module with arguments, of another checkout if one is given."""
+    environment = {} if checkout is None else {"PYTHONPATH": python_path(checkout)}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
+        env=os.environ | environment,
     )
     return Running(process, name)
 
@@ -251,7 +263,13 @@
             f"[platform]\naddress = {self.platform_address}\n"
             f"[operators]\nkeyring = {self.folder}\n" + self.extra_settings
         )
-        return await start(f"daemon {plan.name}", "wheatslipd.main", "--settings", str(path))
+        return await start(
+            f"daemon {plan.name}",
+            "wheatslipd.main",
+            "--settings",
+            str(path),
+            checkout=plan.checkout,
+        )
 
 
 def caller_session() -> aiohttp.ClientSession:
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -4,11 +4,12 @@
 
 import pytest
 
-from soak.__main__ import soak
-from soak.course import FIRST, LAST, Fault, draw
+from soak.__main__ import make_plans, soak
+from soak.course import FIRST, LAST, Fault, beside_other_version, draw
 from soak.history import Emptied, History, Ran, Seen, Stopped, broken_promises
 from standins.backend import Run
 from standins.caller import Asked, Told
+from standins.cluster import python_path
 
 INSTANCES = ("a", "b", "c", "d")
 ZONES = ("one", "two")
@@ -48,6 +49,27 @@
         assert step.at >= FIRST and step.end <= 40.0 - LAST + 1e-9
 
 
+def test_half_of_the_daemons_run_the_other_version_until_they_are_updated(tmp_path):
+    assert all(plan.checkout is None for plan in make_plans())
+    plans = make_plans(tmp_path)
+    others = [plan.name for plan in plans if plan.checkout == tmp_path]
+    own = [plan.name for plan in plans if plan.checkout is None]
+    assert len(others) == len(own)
+    for zone in ZONES:
+        assert len({plan.checkout for plan in plans if plan.zone == zone}) == 2
+    steps, updates = beside_other_version(others, own, ZONES)
+    where = {fault: {step.where for step in steps if step.fault is fault} for fault in Fault}
+    assert where[Fault.STOP] == {*others, *own} and where[Fault.EMPTY_ZONE] == set(ZONES)
+    assert where[Fault.DRAIN] & set(others) and where[Fault.DRAIN] & set(own)
+    assert where[Fault.ROLLOUT]
+    assert [step.where for step in updates if step.fault is Fault.STOP] == others
+
+
+def test_the_other_version_is_found_before_this_one(tmp_path):
+    (tmp_path / "packages" / "wheatslipd").mkdir(parents=True)
+    assert python_path(tmp_path).startswith(f"{tmp_path.resolve()}/packages/wheatslipd")
+
+
 def test_a_good_history_breaks_nothing():
     history = History(
         asked=[asked("r"), asked("s", Told.NOT_RUN)],
