--- a/bench/path.py
+++ b/bench/path.py
@@ -21,8 +21,8 @@
 from wheatslipd.http.pool import ConnectionPool
 
 from bench.figures import Bound, Figure, add_record_option, report
-from demo.operators import Desk
 from standins.cluster import HOST, Cluster, Plan
+from standins.operators import Desk
 
 SECONDS = 4.0  # of load for one turn
 TURNS = 5
--- a/demo/demo.py
+++ b/demo/demo.py
@@ -30,10 +30,10 @@
     credential,
     plans,
 )
-from demo.operators import Desk
 from standins.backend import Record, Run
 from standins.caller import Asked, Caller, make_key
 from standins.cluster import Cluster
+from standins.operators import Desk
 from standins.verdict import Verdict, judge
 
 TRAFFIC_SECONDS = 25.0
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,12 +12,12 @@
 
 from wheatslip.config.bundle import credential_digest
 
-from demo.operators import Desk
 from soak.course import Step, beside_other_version, draw
 from soak.history import History, Ran, broken_promises
 from soak.installation import SERVICE, SLOTS, Installation
 from standins.caller import Caller, Told
 from standins.cluster import Cluster, Plan
+from standins.operators import Desk
 
 WORKSPACE = "alpha"
 SECRET = "alpha-secret"
--- a/soak/installation.py
+++ b/soak/installation.py
@@ -8,14 +8,13 @@
 from dataclasses import dataclass, field, replace
 
 import aiohttp
-import msgspec
-from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
+from wheatslip.store.instances import InstanceState
 
-from demo.operators import CommandFailed, Desk, wheatslip
 from soak.course import Fault, Step
 from soak.history import Emptied, History, Seen, Stopped
 from standins.backend import Behaviour
 from standins.cluster import Cluster, Member, Plan, eventually
+from standins.operators import CommandFailed, Desk
 from standins.platform import Faults
 
 SLOTS = 4
@@ -26,6 +25,7 @@
 # Seconds from the moment at which all daemons knew that a zone is emptied: what a gate had let
 # through before has reached its server by then (a connection takes a quarter of a second).
 ON_THE_WAY = 0.5
+STATUS_SECONDS = 0.5  # that a status page gets to answer
 CALM_SECONDS = 60.0  # in which all must be well again when the faults are over
 
 BUNDLE = """
@@ -170,12 +170,8 @@
 
     async def _status(self, name: str) -> dict[str, object] | None:
         """A daemon's status; None if it gives none soon."""
-        url = f"http://127.0.0.1:{self.cluster.members[name].pages_port}/status"
-        limit = aiohttp.ClientTimeout(total=0.5)
         try:
-            async with self.cluster.session.get(url, timeout=limit) as answer:
-                found: dict[str, object] = msgspec.json.decode(await answer.read())
-                return found
+            return await self.cluster.status(name, STATUS_SECONDS)
         except (aiohttp.ClientError, TimeoutError):
             return None
 
@@ -189,32 +185,13 @@
 
     async def _start_again(self, member: Member) -> None:
         """Start a daemon anew at other ports, and list it as a new start of the instance."""
-        name = member.plan.name
-        await member.daemon.process.wait()
-        member.daemon = await self.cluster.start_daemon(member.plan, member.backend_port)
-        entry, peer, control, pages = await self.cluster.ports_of(member.daemon)
-        self.lives[name] += 1
-        member.pages_port = pages
-        member.instance = Instance(
-            name,
-            member.plan.pool,
-            member.plan.zone,
-            member.instance.address,
-            entry,
-            peer,
-            control,
-            incarnation=member.instance.incarnation + 1,
-        )
+        await self.cluster.restart_daemon(member)
+        self.lives[member.plan.name] += 1
         await self._until_done(lambda: self._list(member, InstanceState.LIVE))
 
     async def _list(self, member: Member, state: InstanceState) -> None:
         """Write an instance into the list, from whatever version it stands at."""
-        url = (
-            f"http://{self.cluster.platform_address}/objects/{INSTANCE_KIND}/{member.plan.name}"
-        )
-        async with self.cluster.session.get(url) as answer:
-            assert answer.status == 200, await answer.text()
-            member.listed_version = msgspec.json.decode(await answer.read())["version"]
+        await self.cluster.read_listed_version(member)
         await self.cluster.list_instance(member, state)
 
     async def _release(self) -> None:
@@ -224,8 +201,7 @@
 
     async def _empty(self, step: Step) -> None:
         """Empty a zone; from when on it counts is what all daemons say."""
-        operator = str(self.desk.settings("anna"))
-        if not await self._try(lambda: wheatslip("zone", "drain", step.where, "-s", operator)):
+        if not await self._try(lambda: self.desk.empty_zone(step.where)):
             return
         end = self.now + step.seconds
         while self.now < end:
@@ -243,11 +219,10 @@
         emptied = self.history.emptied
         if emptied and emptied[-1].zone == zone and emptied[-1].end == emptied[-1].known:
             emptied[-1] = Emptied(zone, emptied[-1].known, max(emptied[-1].known, self.now))
-        operator = str(self.desk.settings("anna"))
 
         async def restore() -> None:
             try:
-                await wheatslip("zone", "restore", zone, "-s", operator)
+                await self.desk.restore_zone(zone)
             except CommandFailed as failed:
                 if "is not emptied" not in str(failed):
                     raise
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -163,23 +163,44 @@
             self.members[member.plan.name] = member
             await self.list_instance(member, InstanceState.LIVE)
 
+    async def restart_daemon(self, member: Member) -> None:
+        """Start a member's daemon anew, at other ports, when it has ended; not listed yet."""
+        await member.daemon.process.wait()
+        member.daemon = await self.start_daemon(member.plan, member.backend_port)
+        entry, peer, control, member.pages_port = await self.ports_of(member.daemon)
+        member.instance = msgspec.structs.replace(
+            member.instance,
+            entry_port=entry,
+            peer_port=peer,
+            control_port=control,
+            incarnation=member.instance.incarnation + 1,
+        )
+
+    async def read_listed_version(self, member: Member) -> None:
+        """Read at which version an instance stands in the platform's list."""
+        async with self.session.get(self._list_url(member)) as response:
+            assert response.status == 200, await response.text()
+            member.listed_version = msgspec.json.decode(await response.read())["version"]
+
     async def list_instance(self, member: Member, state: InstanceState) -> None:
         """Write an instance into the platform's list, as the platform would."""
         instance = msgspec.structs.replace(member.instance, state=state)
         body = {"write_id": "list", "value": instance}
-        url = f"http://{self.platform_address}/objects/{INSTANCE_KIND}/{instance.name}"
         params = {"expected": str(member.listed_version)}
         data = msgspec.json.encode(body)
+        url = self._list_url(member)
         async with self.session.put(url, params=params, data=data) as response:
             assert response.status == 200, await response.text()
             member.listed_version = msgspec.json.decode(await response.read())["version"]
 
     async def unlist(self, member: Member) -> None:
         """Take an instance off the list."""
-        url = f"http://{self.platform_address}/objects/{INSTANCE_KIND}/{member.instance.name}"
-        async with self.session.delete(url) as response:
+        async with self.session.delete(self._list_url(member)) as response:
             assert response.status == 204
 
+    def _list_url(self, member: Member) -> str:
+        return f"http://{self.platform_address}/objects/{INSTANCE_KIND}/{member.plan.name}"
+
     async def set_faults(self, faults: Faults) -> None:
         """Tell the platform's stand-in what to do wrong."""
         url = f"http://{self.platform_address}/stand-in/faults"
@@ -198,10 +219,14 @@
         async with self.session.get(url) as response:
             return msgspec.json.decode(await response.read(), type=Record)
 
-    async def status(self, name: str) -> dict[str, object]:
-        """A daemon's status page."""
+    async def status(self, name: str, timeout: float | None = None) -> dict[str, object]:
+        """A daemon's status page; raises TimeoutError or aiohttp.ClientError without an answer.
+
+        `timeout` is in seconds; None: that of the session.
+        """
         url = f"http://{HOST}:{self.members[name].pages_port}/status"
-        async with self.session.get(url) as response:
+        limit = aiohttp.ClientTimeout(total=timeout) if timeout else None
+        async with self.session.get(url, timeout=limit) as response:
             return msgspec.json.decode(await response.read())
 
     async def wait_for_version(self, version: int) -> None:
--- a/test/test_processes.py
+++ b/test/test_processes.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from demo.operators import Desk
 from standins.backend import Behaviour
 from standins.caller import Caller, Told, make_key
 from standins.cluster import Cluster, Plan, eventually
+from standins.operators import Desk
 from standins.platform import Faults
 from standins.verdict import judge
 from test.helper import BUNDLE, SEED, run
