--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -1,68 +1,88 @@
 """Controller of what concerns a daemon as a whole: leaving, bounds, its server, hints."""
 
-from typing import Protocol
-
 from circuits import Component
+from wheatslip.admission import AdmissionSettings
 from wheatslip.config.bundle import Bundle
 from wheatslip.store.instances import Instance
 from wheatslip.store.registration import Registered
 
-
-class Controlled(Protocol):
-    """What the controller asks of its daemon."""
-
-    def drain(self, cause: str) -> None:
-        """Take no new work."""
-
-    def take_back_drain(self) -> None:
-        """Take new work again."""
-
-    def take_bounds(self, bundle: Bundle) -> None:
-        """Apply the pool's limits and the workspaces' shares."""
-
-    def take_registration(self, registered: Registered) -> None:
-        """Apply what the backend server beside the daemon says of itself."""
-
-    def check_own_entry(
-        self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
-    ) -> None:
-        """Compare the list with what was published."""
-
-    def follow_hint(self, version: int, address: str) -> None:
-        """The daemon at `address` has this version."""
+from wheatslipd.controllers.view import View
+from wheatslipd.feed.feed import Feed
+from wheatslipd.gate.serverside import ServerSide
+from wheatslipd.registration.ownserver import OwnServer
+from wheatslipd.settings import Settings
+from wheatslipd.telemetry import logs
 
 
 class Lifecycle(Component):
-    """Controller of drain, of bounds from the bundle, and of hints about newer versions."""
+    """Opens and closes the gate, applies a bundle's bounds, and follows hints."""
 
     channel = "*"
 
-    def __init__(self, daemon: Controlled):
+    def __init__(
+        self,
+        settings: Settings,
+        view: View,
+        server_side: ServerSide,
+        feed: Feed,
+        own_server: OwnServer | None,
+    ):
+        """`own_server` is None where the platform lists the instances."""
         super().__init__()
-        self._daemon = daemon
+        self._settings = settings
+        self._view = view
+        self._server_side = server_side
+        self._gate = server_side.gate
+        self._feed = feed
+        self._own_server = own_server
 
     def leaving(self, cause: str) -> None:
-        """Stop taking new work; what is in flight goes on."""
-        self._daemon.drain(cause)
+        """Take no new work; what is in flight goes on."""
+        if not self._view.draining:
+            logs.info("draining", cause=cause, in_flight=self._gate.admission.in_flight)
+        self._view.draining = True
+        self._gate.drain()
 
     def returned(self) -> None:
-        """It was a start before this one that left."""
-        self._daemon.take_back_drain()
+        """Take new work again: it was a start before this one that left."""
+        if self._view.draining and not self._view.stopping:
+            logs.info("drain-taken-back")
+            self._view.draining = False
+            self._gate.reopen()
 
     def bundle_in_force(self, bundle: Bundle) -> None:
-        """Take over the bounds of our pool and the workspaces' shares."""
-        self._daemon.take_bounds(bundle)
+        """Apply the limits of the own pool and the workspaces' shares."""
+        pool = next((p for p in bundle.pools if p.name == self._settings.pool), None)
+        if pool is None:
+            logs.warning("pool-not-in-bundle", pool=self._settings.pool, version=bundle.version)
+            return
+        admission = self._gate.admission
+        slots = self._own_server.take_bounds(pool) if self._own_server else pool.slots
+        admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
+        admission.set_shares({w.name: w.share for w in bundle.workspaces})
+        self._server_side.backend.bound_connections(pool.connections)
+        self._server_side.measurer.budget.per_second = pool.probes_per_second
 
     def backend_registered(self, registered: Registered) -> None:
-        """Open or close the gate to the backend server beside us, and publish it."""
-        self._daemon.take_registration(registered)
+        """Apply what the backend server beside us reports, and publish it."""
+        assert self._own_server is not None
+        self._server_side.peer_port.server = registered.server
+        self._own_server.take_registration(registered)
+        if registered.draining:
+            self.leaving(f"backend server {registered.server} leaves")
+        else:
+            self._view.draining = False
+            self._gate.reopen()
+        self._own_server.publish()
 
     def instances_seen(
         self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
     ) -> None:
-        """Let the publisher see what the list says of us."""
-        self._daemon.check_own_entry(instances, gone, whole)
+        """Compare the list, or changes of it, with the own entry."""
+        if self._own_server is not None:
+            self._own_server.check_entry(instances, gone, whole)
 
     def newer_version_seen(self, version: int, address: str) -> None:
-        """Look at the head now rather than wait for the watch."""
-        self._daemon.follow_hint(version, address)
+        """Read a version that the daemon at `address` has, if it is newer than ours."""
+        if version > self._view.version:
+            self._feed.check_head(version, address)
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -6,7 +6,6 @@
 """
 
 import asyncio
-from collections.abc import Callable
 from types import MappingProxyType
 
 from circuits import Component
@@ -15,8 +14,10 @@
 from wheatslip.store.instances import Instance, InstanceState
 
 from wheatslipd.controllers.events import leaving, returned
-from wheatslipd.controllers.view import Membership, Peer, View
+from wheatslipd.controllers.view import Membership, Peer
 from wheatslipd.http.client import Pool
+from wheatslipd.settings import Settings
+from wheatslipd.shared import Shared
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
@@ -26,34 +27,23 @@
 
 
 class MembershipController(Component):
-    """Owns the table of peers. `clocks` gives monotonic and unix seconds."""
+    """Owns the table of peers."""
 
     channel = "*"
 
-    def __init__(
-        self,
-        view: View,
-        name: str,
-        pool: str,
-        owners: OwnerHistory,
-        tls: PeerTls,
-        monotonic: Callable[[], float],
-        unix: Callable[[], float],
-        lists_itself: bool = False,
-    ):
-        """`lists_itself`: this daemon writes its own entry, so the entry tells it nothing."""
+    def __init__(self, settings: Settings, shared: Shared, owners: OwnerHistory, tls: PeerTls):
         super().__init__()
-        self._view = view
-        self._name = name
-        self._pool = pool
+        self._view = shared.view
+        self._name = settings.name
+        self._pool = settings.pool
         self._owners = owners
         self._tls = tls
-        self._monotonic = monotonic
-        self._unix = unix
+        self._monotonic = shared.monotonic
+        self._unix = shared.unix
         self._peers: dict[str, Peer] = {}
         self._missing: dict[str, asyncio.TimerHandle] = {}  # by name, to the end of the grace
         self._has_list = False
-        self._lists_itself = lists_itself
+        self._lists_itself = settings.lists_itself  # so its entry tells it nothing
         self._left: int | None = None  # the incarnation of ours that was listed as leaving
 
     def instances_seen(
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: wires entry, admission and control together and runs them until told to stop."""
+"""The daemon: composes entry, server side, feed and controllers, and runs them."""
 
 import asyncio
 import dataclasses
@@ -8,17 +8,11 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from wheatslip.admission import Admission, AdmissionSettings
-from wheatslip.budget import RetryBudgets
+from circuits import Component
 from wheatslip.chooser import Chooser
-from wheatslip.config.bundle import Bundle
-from wheatslip.ledger import KeyLedger
 from wheatslip.owners import OwnerHistory
-from wheatslip.store.instances import Instance
 from wheatslip.store.objects import ObjectClient, ObjectStore
-from wheatslip.store.registration import Registered
 
-from wheatslipd.chain import build_chain
 from wheatslipd.controllers.bundles import BundleController
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.events import leaving, newer_version_seen
@@ -26,31 +20,25 @@
 from wheatslipd.controllers.membership import MembershipController
 from wheatslipd.controllers.view import View
 from wheatslipd.controllers.zones import ZoneController
-from wheatslipd.entry.entry import Entry
-from wheatslipd.entry.filters import common_filters, workspace_filters
-from wheatslipd.entry.forward import Forwarder
-from wheatslipd.entry.routefilter import RouteFilter
+from wheatslipd.entry.wiring import build_entry
 from wheatslipd.feed.feed import Feed
 from wheatslipd.feed.proof import proof_of
-from wheatslipd.gate.backend import Backend
-from wheatslipd.gate.gate import Gate
-from wheatslipd.gate.keyguard import KeyGuard
-from wheatslipd.gate.measure import Measurer
-from wheatslipd.gate.peerport import PeerPort
+from wheatslipd.gate.serverside import build_server_side
 from wheatslipd.http.server import Server
-from wheatslipd.registration.ownserver import OwnServer
+from wheatslipd.registration.ownserver import ListedPorts, OwnServer
 from wheatslipd.registration.registrar import HeartbeatDecoder, decode_heartbeat
-from wheatslipd.settings import Interface, Settings
+from wheatslipd.settings import Settings
+from wheatslipd.shared import Shared
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.pagesource import PageSource, Status
+from wheatslipd.telemetry.statereport import StateReport
 from wheatslipd.telemetry.tracing import HopTracer
-from wheatslipd.tls import PeerTls, peer_tls
+from wheatslipd.tls import peer_tls
 
 if TYPE_CHECKING:
     from wheatslipd.telemetry.pages import PageServer
 
-BACKEND_CONNECTIONS = 220  # until a bundle says otherwise
 # Seconds from listening in which a first configuration and list are expected: 0.05 at the
 # median, 0.07 at most of 78 daemons on 0.43 of a core that lost their power together.
 START_SECONDS = 0.2
@@ -59,8 +47,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ports:
-    """What an embedder puts in the place of wheatslip's own way to the outside."""
+class Adapters:
+    """What an embedder replaces of wheatslip's own way to the outside.
+
+    Without a `store` the daemon uses the object API that the settings name.
+    """
 
     store: ObjectStore | None = None
     decode_heartbeat: HeartbeatDecoder = decode_heartbeat
@@ -75,19 +66,25 @@
         rng: Random,
         monotonic: Callable[[], float] = time.monotonic,
         unix: Callable[[], float] = time.time,
-        ports: Ports | None = None,
+        adapters: Adapters | None = None,
     ):
         """Build everything; nothing runs before `run`."""
-        ports = ports or Ports()
+        adapters = adapters or Adapters()
+        store = adapters.store or ObjectClient(settings.platform, rng)
+        tls = peer_tls(settings.peer_tls)
+        owners = OwnerHistory()
+        metrics = Metrics(settings.name, settings.zone)
+        shared = Shared(View(), Bus(), metrics, rng, monotonic, unix)
         self.settings = settings
-        self.view = View()
-        self.metrics = Metrics(settings.name, settings.zone)
-        self._monotonic = monotonic
+        self.view = shared.view
+        self.bus = shared.bus
         self.listening = asyncio.Event()
         self._stopping = asyncio.Event()
-        self.bus = Bus()
-        tls = peer_tls(settings.peer_tls)
-        store = ports.store or ObjectClient(settings.platform, rng)
+        self._shared = shared
+        self._chooser = Chooser(settings.zone, rng, settings.chooser)
+        self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
+
+        # Configuration, zone drains and the list of instances, which all parts below read.
         self.feed = Feed(
             settings.name,
             settings.zone,
@@ -99,49 +96,46 @@
             unix,
             settings.feed,
         )
-        self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
-        self.gate = Gate(Admission(AdmissionSettings()), self.view, monotonic)
-        # Whether the zone is emptied is not known yet, so nothing may start.
-        self.gate.admission.emptied = True
-        self._backend = Backend(
-            settings.backend_address,
-            settings.backend_port,
-            BACKEND_CONNECTIONS,
-            settings.connect_timeout,
+        # A request's way: the entry of one daemon, then the server side of another or this one.
+        cache = self.feed.cache
+        entry = build_entry(
+            settings,
+            shared,
+            self._chooser,
+            self._tracer,
+            members=lambda: len(cache.instances),
+            on_newer_version=self._hint_newer_version,
         )
-        self._chooser = Chooser(settings.zone, rng, settings.chooser)
-        owners = OwnerHistory()
-        self._keys = KeyGuard(
-            settings.name,
-            KeyLedger(watching_since=unix()),
+        self.server_side = build_server_side(
+            settings,
+            shared,
+            self._tracer,
             owners,
-            unix,
-            lambda: self.feed.cache.checked,
+            list_checked=lambda: cache.checked,
+            on_newer_version=self._hint_newer_version,
         )
-        self._register_controllers(owners, tls, monotonic, unix)
-        self.entry_server = Server(self._build_entry(rng).handle)
-        self.peer_port = PeerPort(
-            self.view,
-            self.gate,
-            self._backend,
-            self._keys,
-            self.metrics,
-            self._tracer,
-            monotonic,
-            self._hint_newer_version,
-            settings.pool,
-            settings.headers,
-            settings.interface is Interface.ROUTES,
+        self.entry_server = Server(entry.handle)
+        self.peer_server = Server(self.server_side.peer_port.handle, tls.server)
+        # The backend server's registration, where the platform does not list instances.
+        self.own_server: OwnServer | None = None
+        if settings.lists_itself:
+            self.own_server = OwnServer(
+                settings,
+                shared,
+                self.server_side,
+                self.feed,
+                store,
+                adapters.decode_heartbeat,
+                self._ports,
+            )
+        self._register(
+            BundleController(self.view, metrics),
+            MembershipController(settings, shared, owners, tls),
+            ZoneController(self.view, settings.zone, self.server_side.gate, metrics, unix),
+            Lifecycle(settings, self.view, self.server_side, self.feed, self.own_server),
         )
-        self.peer_server = Server(self.peer_port.handle, tls.server)
-        self.own_server = self._own_server(store, rng, ports.decode_heartbeat)
-        self.measurer = Measurer(
-            self._backend,
-            settings.health_path,
-            self.bus,
-            self.metrics,
-            monotonic,
-            self._is_silent,
+        self._report = StateReport(
+            settings, shared, self.entry_server, self.peer_server, self.server_side, self.feed
         )
 
     async def run(self) -> int:
@@ -155,7 +149,7 @@
             tasks += self.own_server.start()
             helpers.append(loop.create_task(self.own_server.find()))
         if self.settings.health_path:
-            tasks.append(loop.create_task(self.measurer.run()))
+            tasks.append(loop.create_task(self.server_side.measurer.run()))
         pages = await self._start_pages()
         stopped = loop.create_task(self._stopping.wait())
         assert self.bus.failed is not None
@@ -201,186 +195,24 @@
         self._tracer.sample = settings.trace_sample
         logs.info("settings-reloaded")
 
-    def drain(self, cause: str) -> None:
-        """Take no new work."""
-        if not self.view.draining:
-            logs.info("draining", cause=cause, in_flight=self.gate.admission.in_flight)
-        self.view.draining = True
-        self.gate.drain()
-
-    def take_back_drain(self) -> None:
-        """Take new work again: it was not this start that was to drain."""
-        if self.view.draining and not self.view.stopping:
-            logs.info("drain-taken-back")
-            self.view.draining = False
-            self.gate.reopen()
-
-    def take_bounds(self, bundle: Bundle) -> None:
-        """Apply the pool's limits and the workspaces' shares."""
-        pool = next((p for p in bundle.pools if p.name == self.settings.pool), None)
-        if pool is None:
-            logs.warning("pool-not-in-bundle", pool=self.settings.pool, version=bundle.version)
-            return
-        admission = self.gate.admission
-        slots = self.own_server.take_bounds(pool) if self.own_server else pool.slots
-        admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
-        admission.set_shares({w.name: w.share for w in bundle.workspaces})
-        self._backend.bound_connections(pool.connections)
-        self.measurer.budget.per_second = pool.probes_per_second
-
-    def take_registration(self, registered: Registered) -> None:
-        """Apply what the backend server beside us says of itself."""
-        assert self.own_server is not None
-        self.peer_port.server = registered.server
-        self.own_server.take_registration(registered)
-        if registered.draining:
-            self.drain(f"backend server {registered.server} leaves")
-        else:
-            self.view.draining = False
-            self.gate.reopen()
-        self._publish()
-
-    def check_own_entry(
-        self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
-    ) -> None:
-        """Compare the list with what we published."""
-        if self.own_server is not None:
-            cache = self.feed.cache
-            version = cache.version_of(self.settings.name)
-            self.own_server.check_entry(instances, gone, whole, version, cache.listed)
-
-    def follow_hint(self, version: int, address: str) -> None:
-        """Look for a version that the daemon at `address` has, if it is newer than ours."""
-        if version > self.view.version:
-            self.feed.check_head(version, address)
-
     def status(self) -> Status:
         """The state for the status page."""
-        admission = self.gate.admission
-        members = sum(len(peers) for peers in self.view.membership.pools.values())
-        return Status(
-            name=self.settings.name,
-            zone=self.settings.zone,
-            pool=self.settings.pool,
-            entry_port=self.entry_server.port,
-            peer_port=self.peer_server.port,
-            version=self.view.version,
-            ready=self._is_ready(),
-            draining=self.view.draining,
-            in_flight=admission.in_flight,
-            queued=admission.queued,
-            limit=admission.limit.value,
-            members=members,
-            platform_calls=self.feed.client.calls,
-            watches=self.feed.watches,
-            parent=self.feed.parent,
-            head_age=self.feed.head_age,
-            emptied_zones=tuple(sorted(self.view.drains.zones)) if self.view.drains else (),
-            cold=admission.cold.is_cold(self._monotonic()),
-            followers=self.feed.relay.followers,
-            relay_bytes=self.feed.relay.sent_bytes,
-        )
-
-    def _is_ready(self) -> bool:
-        """Whether callers may come; a backend server that leaves need not keep them away
-        where it is not the one that serves them.
-        """
-        if not self.view.version or self.view.drains is None or self.view.stopping:
-            return False
-        return self.own_server is not None or not self.view.draining
-
-    def _register_controllers(
-        self,
-        owners: OwnerHistory,
-        tls: PeerTls,
-        monotonic: Callable[[], float],
-        unix: Callable[[], float],
-    ) -> None:
-        settings = self.settings
-        BundleController(self.view, self.metrics).register(self.bus)
-        MembershipController(
-            self.view,
-            settings.name,
-            settings.pool,
-            owners,
-            tls,
-            monotonic,
-            unix,
-            lists_itself=settings.registration_port is not None,
-        ).register(self.bus)
-        ZoneController(self.view, settings.zone, self.gate, self.metrics, unix).register(
-            self.bus
-        )
-        Lifecycle(self).register(self.bus)
+        return self._report.status()
 
-    def _own_server(
-        self, store: ObjectStore, rng: Random, decode: HeartbeatDecoder
-    ) -> OwnServer | None:
-        """The parts for a backend server that registers here, if the settings want them."""
-        if self.settings.registration_port is None:
-            return None
-        return OwnServer(
-            self.settings,
-            self.view,
-            self.gate,
-            self._backend,
-            store,
-            self.metrics,
-            self.bus,
-            rng,
-            self._monotonic,
-            decode,
-            self.feed.removal_turn,
-            self.feed.cache.version_of,
-        )
-
-    def _publish(self) -> None:
-        assert self.own_server is not None
-        self.own_server.publish(
-            self.entry_server.port, self.peer_server.port, self.feed.relay.port
-        )
+    def _register(self, *controllers: Component) -> None:
+        for controller in controllers:
+            controller.register(self.bus)
 
-    def _build_entry(self, rng: Random) -> Entry:
-        settings = self.settings
-        plain = settings.interface is Interface.ROUTES
-        forwarder = Forwarder(
-            self.view,
-            self.settings.name,
-            self._chooser,
-            self.metrics,
-            rng,
-            self._monotonic,
-            self._hint_newer_version,
-            RetryBudgets(
-                fleet=settings.fleet_budget,
-                members=lambda: len(self.feed.cache.instances),
-                started=self._monotonic(),
-            ),
-            settings.headers,
-            settings.pool,
-            settings.answer_hold,
-            plain,
-        )
-        filters = common_filters(self.view, self.metrics, self._tracer, self._monotonic)
-        if plain:
-            filters.append(RouteFilter(settings.headers, self._monotonic, rng))
-        else:
-            filters += workspace_filters(self._monotonic)
-        chain = build_chain(filters, forwarder)
-        return Entry(chain, self._monotonic, self.view, plain=plain)
+    def _ports(self) -> ListedPorts:
+        return ListedPorts(self.entry_server.port, self.peer_server.port, self.feed.relay.port)
 
     def _hint_newer_version(self, version: int, address: str) -> None:
         self.bus.fire(newer_version_seen(version, address))
 
-    def _is_silent(self, seconds: float) -> bool:
-        admission = self.gate.admission
-        last = admission.last_finished
-        return admission.in_flight == 0 and self._monotonic() - last >= seconds
-
     async def _listen(self) -> None:
         """Listen for requests, other daemons and heartbeats. Raises OSError."""
         settings = self.settings
-        self.view.expected_until = self._monotonic() + START_SECONDS
+        self.view.expected_until = self._shared.monotonic() + START_SECONDS
         await self.entry_server.listen(settings.address, settings.entry_port)
         await self.peer_server.listen(settings.address, settings.peer_port)
         await self.feed.relay.listen(settings.address, settings.control_port)
@@ -396,7 +228,7 @@
         from wheatslipd.telemetry.pages import PageServer
 
         loop = asyncio.get_running_loop()
-        source = PageSource(loop, self.status, self._render_metrics)
+        source = PageSource(loop, self._report.status, self._report.metrics)
         pages = PageServer(settings.address, settings.pages_port, source)
         pages_port = await pages.start()
         logs.info(
@@ -411,21 +243,6 @@
         self.listening.set()
         return pages
 
-    def _render_metrics(self) -> bytes:
-        # Gauges are set when they are read: setting them on each request would cost more.
-        admission = self.gate.admission
-        self.metrics.in_flight.set({}, admission.in_flight)
-        self.metrics.queued.set({}, admission.queued)
-        self.metrics.limit.set({}, admission.limit.value)
-        self.metrics.cold.set({}, float(admission.cold.is_cold(self._monotonic())))
-        self.metrics.key_records.set({}, len(self._keys.ledger))
-        self.metrics.platform_calls.set({}, self.feed.client.calls)
-        self.metrics.relay_bytes.set({}, self.feed.relay.sent_bytes)
-        self.metrics.head_age.set({}, self.feed.head_age or 0.0)
-        self.metrics.connections.set({"port": "entry"}, self.entry_server.open_connections)
-        self.metrics.connections.set({"port": "peer"}, self.peer_server.open_connections)
-        return self.metrics.render()
-
     async def _finish_in_flight(self) -> None:
         """Let what is in flight finish, within the grace of the settings."""
         grace = self.settings.stop_grace
@@ -433,7 +250,7 @@
             # The backend server leaves, and we with it.
             self.own_server.withdraw()
         elif self.own_server is not None:
-            self._publish()
+            self.own_server.publish()
         if self.settings.stop_listening_after:
             await asyncio.sleep(self.settings.stop_listening_after)
             grace -= self.settings.stop_listening_after
@@ -445,4 +262,4 @@
         )
         if not all(finished):
             logs.error("stop-cut-requests", grace=grace)
-        self._backend.close()
+        self.server_side.backend.close()
--- /dev/null
+++ b/packages/wheatslipd/wheatslipd/entry/wiring.py
@@ -0,0 +1,48 @@
+"""The entry of one daemon with its filter chain, built from the settings."""
+
+from collections.abc import Callable
+
+from wheatslip.budget import RetryBudgets
+from wheatslip.chooser import Chooser
+
+from wheatslipd.chain import build_chain
+from wheatslipd.entry.entry import Entry
+from wheatslipd.entry.filters import common_filters, workspace_filters
+from wheatslipd.entry.forward import Forwarder
+from wheatslipd.entry.routefilter import RouteFilter
+from wheatslipd.settings import Interface, Settings
+from wheatslipd.shared import Shared
+from wheatslipd.telemetry.tracing import HopTracer
+
+
+def build_entry(
+    settings: Settings,
+    shared: Shared,
+    chooser: Chooser,
+    tracer: HopTracer,
+    members: Callable[[], int],
+    on_newer_version: Callable[[int, str], None],
+) -> Entry:
+    """Build the entry. For `members` see `RetryBudgets`."""
+    by_routes = settings.interface is Interface.ROUTES
+    clock = shared.monotonic
+    forwarder = Forwarder(
+        shared.view,
+        settings.name,
+        chooser,
+        shared.metrics,
+        shared.rng,
+        clock,
+        on_newer_version,
+        RetryBudgets(fleet=settings.fleet_budget, members=members, started=clock()),
+        settings.headers,
+        settings.pool,
+        settings.answer_hold,
+        by_routes,
+    )
+    filters = common_filters(shared.view, shared.metrics, tracer, clock)
+    if by_routes:
+        filters.append(RouteFilter(settings.headers, clock, shared.rng))
+    else:
+        filters += workspace_filters(clock)
+    return Entry(build_chain(filters, forwarder), clock, shared.view, plain=by_routes)
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -78,11 +78,11 @@
         seen = self.cache.as_of
         return self._unix() - seen if seen else None
 
-    def removal_turn(self, zone: str) -> int | None:
+    def removal_rank(self, zone: str) -> int | None:
         """How many daemons are to remove dead entries of `zone` before this one; None if it
         does not read the platform.
         """
-        return self._place.removal_turn(zone)
+        return self._place.removal_rank(zone)
 
     def check_head(self, version: int, address: str = "") -> None:
         """Message: the daemon at `address` knows this newer version."""
--- a/packages/wheatslipd/wheatslipd/feed/place.py
+++ b/packages/wheatslipd/wheatslipd/feed/place.py
@@ -48,7 +48,7 @@
             return ring_parents_of(self.name, self._ring)
         return parents_of(self.name, self._order, self._watchers)
 
-    def removal_turn(self, zone: str) -> int | None:
+    def removal_rank(self, zone: str) -> int | None:
         """How many daemons are to remove dead entries of `zone` before this one; None if it
         does not read the platform.
         """
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -7,7 +7,7 @@
 import asyncio
 import dataclasses
 from collections.abc import Callable
-from random import Random
+from typing import NamedTuple
 
 from msgspec import UnsetType
 from wheatslip.admission import ColdRate, cold_rate
@@ -17,80 +17,82 @@
 from wheatslip.store.objects import ObjectStore
 from wheatslip.store.registration import Registered, Registration
 
-from wheatslipd.controllers.bus import Bus
-from wheatslipd.controllers.view import View
-from wheatslipd.gate.backend import Backend
-from wheatslipd.gate.gate import Gate
+from wheatslipd.feed.feed import Feed
 from wheatslipd.gate.recoveryprobe import RecoveryProbe
+from wheatslipd.gate.serverside import ServerSide
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.http.server import Server
 from wheatslipd.registration.publisher import Publisher
 from wheatslipd.registration.registrar import HeartbeatDecoder, Registrar
 from wheatslipd.registration.removal import DeadEntryRemover
 from wheatslipd.settings import NO_CHECKS, Settings
-from wheatslipd.telemetry.metrics import Metrics
+from wheatslipd.shared import Shared
 
 PUBLISH_SECONDS = 0.5  # that a planned stop waits for the last word on our list entry
 
 
+class ListedPorts(NamedTuple):
+    """The ports of this daemon that its list entry names."""
+
+    entry: int
+    peer: int
+    control: int
+
+
 class OwnServer:
     """Registration, recovery and list entry of the backend server beside one daemon."""
 
     def __init__(
         self,
         settings: Settings,
-        view: View,
-        gate: Gate,
-        backend: Backend,
+        shared: Shared,
+        server_side: ServerSide,
+        feed: Feed,
         store: ObjectStore,
-        metrics: Metrics,
-        bus: Bus,
-        rng: Random,
-        clock: Callable[[], float],
         decode: HeartbeatDecoder,
-        removal_turn: Callable[[str], int | None],
-        listed_version: Callable[[str], int],
+        ports: Callable[[], ListedPorts],
     ):
-        """For the last two see `DeadEntryRemover`."""
+        """`ports` are asked for when the entry is written: they are known once all listen."""
+        gate, backend, clock = server_side.gate, server_side.backend, shared.monotonic
         self._settings = settings
-        self._view = view
+        self._view = shared.view
         self._gate = gate
         self._clock = clock
+        self._cache = feed.cache
+        self._ports = ports
         self._server = ""  # the id of the one that registered last
-        self._slots = 0  # that the server told of, as far as they are used; 0: none yet
-        address = f"{settings.backend_address}:{settings.backend_port}"
-        registration = Registration(settings.pool, address)
+        self._slots = 0  # that the server reported, as far as they are used; 0: none yet
         self._registrar = Registrar(
-            registration,
+            Registration(settings.pool, f"{settings.backend_address}:{settings.backend_port}"),
             backend,
             settings.headers,
-            bus,
+            shared.bus,
             clock,
             gate.learn,
             self._take_beat,
+            settings.health_path,
             decode,
         )
-        self._registrar.health_path = settings.health_path
         self._check = SpeedCheck(
             gate,
             backend,
             settings.headers,
-            metrics,
+            shared.metrics,
             clock,
             SlidingLimit(settings.checks_per_second),
         )
         self._check.use_path(settings.health_path)
         self._probe = RecoveryProbe(gate, self._check, clock, settings.recovery_probe)
-        if settings.check_price < NO_CHECKS and settings.headers.load:
-            gate.ask_speed = self._check.ask_briefly
-            gate.check_price = settings.check_price
-        self._publisher = Publisher(store, rng)
+        self._publisher = Publisher(store, shared.rng)
         self.remover = DeadEntryRemover(
-            settings.name, store, view, clock, removal_turn, listed_version
+            settings.name, store, shared.view, clock, feed.removal_rank, feed.cache.version_of
         )
         self.registration_server = Server(self._registrar.handle)
+        if settings.check_price < NO_CHECKS and settings.headers.load:
+            gate.ask_speed = self._check.ask_briefly
+            gate.check_price = settings.check_price
         gate.is_probed = True
-        # Who stands there, and whether it leaves, is not known yet.
+        # Which server stands there, and whether it leaves, is not known yet.
         gate.admission.unknown = True
 
     async def listen(self) -> None:
@@ -153,9 +155,10 @@
         else:
             cold.told(registered.warm_at - now, now)
 
-    def publish(self, entry_port: int, peer_port: int, control_port: int) -> None:
+    def publish(self) -> None:
         """Let the list show this daemon as it is now."""
         settings = self._settings
+        ports = self._ports()
         leaves = self._view.draining or self._view.stopping
         self._publisher.publish(
             Instance(
@@ -163,9 +166,9 @@
                 pool=settings.pool,
                 zone=settings.zone,
                 address=settings.address,
-                entry_port=entry_port,
-                peer_port=peer_port,
-                control_port=control_port,
+                entry_port=ports.entry,
+                peer_port=ports.peer,
+                control_port=ports.control,
                 state=InstanceState.LEAVING if leaves else InstanceState.LIVE,
             )
         )
@@ -179,17 +182,10 @@
         await self._publisher.wait_settled(PUBLISH_SECONDS)
 
     def check_entry(
-        self,
-        instances: tuple[Instance, ...],
-        gone: tuple[str, ...],
-        whole: bool,
-        version: int,
-        at: int,
+        self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
     ) -> None:
-        """Compare the list, or changes of it, with what we published; `version` is that of our
-        entry there, `at` that of the list.
-        """
+        """Compare the list, or changes of it, with what we published."""
         name = self._settings.name
         listed = next((i for i in instances if i.name == name), None)
         if listed is not None or whole or name in gone:
-            self._publisher.seen(listed, version, at)
+            self._publisher.seen(listed, self._cache.version_of(name), self._cache.listed)
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -50,6 +50,7 @@
         clock: Callable[[], float],
         on_load: Callable[[BackendLoad], None],
         on_beat: Callable[[Registered], None],
+        health_path: str,
         decode: HeartbeatDecoder = decode_heartbeat,
     ):
         """`on_load` hears of the load that the health endpoint tells, `on_beat` of each
@@ -63,7 +64,7 @@
         self._bus = bus
         self._clock = clock
         self._decode = decode
-        self.health_path = ""
+        self.health_path = health_path
         self._disputed = asyncio.Event()
 
     async def handle(self, exchange: Exchange) -> None:
--- a/packages/wheatslipd/wheatslipd/registration/removal.py
+++ b/packages/wheatslipd/wheatslipd/registration/removal.py
@@ -16,9 +16,9 @@
 from wheatslipd.controllers.view import Peer, View
 from wheatslipd.telemetry import logs
 
-LOOK_SECONDS = 5.0
-# Seconds that each daemon leaves to the one whose turn is before its own: two of its looks.
-TURN_SECONDS = 2 * LOOK_SECONDS
+LOOK_SECONDS = 5.0  # between two looks for dead entries; chosen, not measured
+# Seconds that each daemon leaves to the one of the rank before its own: two of its looks.
+RANK_SECONDS = 2 * LOOK_SECONDS
 
 
 class DeadEntryRemover:
@@ -30,10 +30,10 @@
         store: ObjectStore,
         view: View,
         clock: Callable[[], float],
-        turn: Callable[[str], int | None],
+        rank: Callable[[str], int | None],
         version_of: Callable[[str], int],
     ):
-        """`name` is this daemon's own, whose entry is left alone. `turn` tells how many others
+        """`name` is this daemon's own, whose entry is left alone. `rank` tells how many others
         are to remove entries of a zone before this one, None if it does not remove any;
         `version_of` the version at which an instance is listed.
         """
@@ -41,7 +41,7 @@
         self._store = store
         self._view = view
         self._clock = clock
-        self._turn = turn
+        self._rank = rank
         self._version_of = version_of
 
     async def run(self) -> None:
@@ -60,16 +60,16 @@
                 await self._remove(peer.instance.name, peer.instance.incarnation)
 
     def _is_ours_to_remove(self, peer: Peer, now: float) -> bool:
-        turn = self._turn(peer.instance.zone)
-        if turn is None or peer.instance.name == self._name:
+        rank = self._rank(peer.instance.zone)
+        if rank is None or peer.instance.name == self._name:
             return False
-        return peer.upstream.is_dead(now - turn * TURN_SECONDS)
+        return peer.upstream.is_dead(now - rank * RANK_SECONDS)
 
     async def _remove(self, name: str, incarnation: int) -> None:
         answer = await self._store.delete(INSTANCE_KIND, name, self._version_of(name))
         match answer:
             case Err(Conflict(found)) if found is not None:
-                # What other daemons tell of the list may name a later version.
+                # The list may come from a daemon that has read a later version.
                 listed = decode_instance(found.value)
                 if isinstance(listed, Ok) and listed.ok_value.incarnation != incarnation:
                     return  # it has started anew since
--- a/packages/wheatslipd/wheatslipd/run.py
+++ b/packages/wheatslipd/wheatslipd/run.py
@@ -15,7 +15,7 @@
 from result import Err, Ok
 
 from wheatslipd import __version__
-from wheatslipd.daemon import Daemon, Ports
+from wheatslipd.daemon import Adapters, Daemon
 from wheatslipd.settings import Settings, load_settings
 from wheatslipd.telemetry import logs
 
@@ -28,11 +28,11 @@
     settings: Settings,
     path: Path,
     log: logs.KeyValueDestination,
-    make_ports: Callable[[Random], Ports] = lambda rng: Ports(),
+    make_adapters: Callable[[Random], Adapters] = lambda rng: Adapters(),
 ) -> int:
     """Run a daemon on the loop that the settings name; returns the exit code.
 
-    `path` is the settings file, read again on SIGHUP. `make_ports` is called with the loop
+    `path` is the settings file, read again on SIGHUP. `make_adapters` is called with the loop
     running, and with the daemon's seeded generator.
     """
     seed = time.time_ns()
@@ -43,7 +43,7 @@
             logs.error("io-uring-in-use", loop=settings.loop, remedy="set loop = asyncio")
             return EXIT_FAILED
         rng = Random(seed)
-        daemon = Daemon(settings, rng, ports=make_ports(rng))
+        daemon = Daemon(settings, rng, adapters=make_adapters(rng))
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, daemon.stop)
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -130,6 +130,13 @@
     feed: FeedPace = field(default_factory=FeedPace)
     stop_listening_after: float = 0.0
 
+    @property
+    def lists_itself(self) -> bool:
+        """Whether the backend server registers here and this daemon writes its own list entry;
+        otherwise the platform lists both.
+        """
+        return self.registration_port is not None
+
 
 _SIGNED = ConfigurationSource.SIGNED
 
--- /dev/null
+++ b/packages/wheatslipd/wheatslipd/shared.py
@@ -0,0 +1,24 @@
+"""What most parts of one daemon share."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+
+from wheatslipd.controllers.bus import Bus
+from wheatslipd.controllers.view import View
+from wheatslipd.telemetry.metrics import Metrics
+
+
+@dataclass(frozen=True, slots=True)
+class Shared:
+    """The present state, the events, the metrics, the generator and the clocks of a daemon.
+
+    `rng` is seeded by whoever starts the daemon. Both clocks return seconds.
+    """
+
+    view: View
+    bus: Bus
+    metrics: Metrics
+    rng: Random
+    monotonic: Callable[[], float]
+    unix: Callable[[], float]
--- /dev/null
+++ b/packages/wheatslipd/wheatslipd/telemetry/statereport.py
@@ -0,0 +1,86 @@
+"""What the operators' pages show, read from the daemon's parts when a page is asked for."""
+
+from wheatslipd.feed.feed import Feed
+from wheatslipd.gate.serverside import ServerSide
+from wheatslipd.http.server import Server
+from wheatslipd.settings import Settings
+from wheatslipd.shared import Shared
+from wheatslipd.telemetry.pagesource import Status
+
+
+class StateReport:
+    """The status and the metrics of one daemon."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        shared: Shared,
+        entry_server: Server,
+        peer_server: Server,
+        server_side: ServerSide,
+        feed: Feed,
+    ):
+        self._settings = settings
+        self._shared = shared
+        self._view = shared.view
+        self._entry_server = entry_server
+        self._peer_server = peer_server
+        self._server_side = server_side
+        self._feed = feed
+
+    def status(self) -> Status:
+        """The state for the status page."""
+        settings = self._settings
+        view = self._view
+        feed = self._feed
+        admission = self._server_side.gate.admission
+        return Status(
+            name=settings.name,
+            zone=settings.zone,
+            pool=settings.pool,
+            entry_port=self._entry_server.port,
+            peer_port=self._peer_server.port,
+            version=view.version,
+            ready=self._is_ready(),
+            draining=view.draining,
+            in_flight=admission.in_flight,
+            queued=admission.queued,
+            limit=admission.limit.value,
+            members=sum(len(peers) for peers in view.membership.pools.values()),
+            platform_calls=feed.client.calls,
+            watches=feed.watches,
+            parent=feed.parent,
+            head_age=feed.head_age,
+            emptied_zones=tuple(sorted(view.drains.zones)) if view.drains else (),
+            cold=admission.cold.is_cold(self._shared.monotonic()),
+            followers=feed.relay.followers,
+            relay_bytes=feed.relay.sent_bytes,
+        )
+
+    def metrics(self) -> bytes:
+        """The content of the metrics page.
+
+        Gauges are set here: setting them on each request would cost more.
+        """
+        metrics = self._shared.metrics
+        admission = self._server_side.gate.admission
+        metrics.in_flight.set({}, admission.in_flight)
+        metrics.queued.set({}, admission.queued)
+        metrics.limit.set({}, admission.limit.value)
+        metrics.cold.set({}, float(admission.cold.is_cold(self._shared.monotonic())))
+        metrics.key_records.set({}, len(self._server_side.keys.ledger))
+        metrics.platform_calls.set({}, self._feed.client.calls)
+        metrics.relay_bytes.set({}, self._feed.relay.sent_bytes)
+        metrics.head_age.set({}, self._feed.head_age or 0.0)
+        metrics.connections.set({"port": "entry"}, self._entry_server.open_connections)
+        metrics.connections.set({"port": "peer"}, self._peer_server.open_connections)
+        return metrics.render()
+
+    def _is_ready(self) -> bool:
+        """Whether callers may come. A daemon that lists itself takes callers while its backend
+        server leaves, as others serve them.
+        """
+        view = self._view
+        if not view.version or view.drains is None or view.stopping:
+            return False
+        return self._settings.lists_itself or not view.draining
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import aiohttp
-from wheatslipd.daemon import Daemon, Ports
+from wheatslipd.daemon import Adapters, Daemon
 from wheatslipd.settings import parse_settings
 
 from fleet_adapter.heartbeats import decode_heartbeat
@@ -128,8 +128,8 @@
             more_headers=self.more_headers,
         )
         settings = parse_settings(text, name)
-        ports = Ports(FleetStore(store), decode_heartbeat)
-        daemon = Daemon(settings.unwrap(), Random(3), ports=ports)
+        adapters = Adapters(FleetStore(store), decode_heartbeat)
+        daemon = Daemon(settings.unwrap(), Random(3), adapters=adapters)
         self.daemons[name] = daemon
         self.tasks[name] = asyncio.create_task(daemon.run())
         await daemon.listening.wait()
@@ -181,7 +181,7 @@
             return all(
                 d.status().version == version
                 and d.status().members == len(self.daemons)
-                and not d.gate.admission.unknown
+                and not d.server_side.gate.admission.unknown
                 for d in self.daemons.values()
             )
 
@@ -200,7 +200,7 @@
             name: (
                 self.tasks[name].done(),
                 daemon.status(),
-                daemon.gate.admission.unknown,
+                daemon.server_side.gate.admission.unknown,
                 daemon.view.drains,
                 sorted(daemon.feed.cache.instances),
                 daemon.feed.cache.listed,
--- a/test/test_many_callers.py
+++ b/test/test_many_callers.py
@@ -46,7 +46,7 @@
                 return daemon.status().ready
 
             async def knows_its_server():
-                return not daemon.gate.admission.unknown
+                return not daemon.server_side.gate.admission.unknown
 
             await eventually(is_ready)
             port = daemon.entry_server.port
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -295,9 +295,9 @@
         await installation.release(bundle(text, version=2))
         await installation.ready(version=2)
         daemon = installation.nodes["papers-1"].daemon
-        assert daemon._backend.connections == 7
-        assert daemon.gate.admission.limit.value == 3
-        assert daemon.measurer.budget.per_second == 0.5
+        assert daemon.server_side.backend.connections == 7
+        assert daemon.server_side.gate.admission.limit.value == 3
+        assert daemon.server_side.measurer.budget.per_second == 0.5
 
     two_upstreams(tmp_path, scenario)
 
--- a/test/test_registrar.py
+++ b/test/test_registrar.py
@@ -46,8 +46,8 @@
         clock=lambda: now[0],
         on_load=lambda load: None,
         on_beat=lambda registered: None,
+        health_path="/health",
     )
-    asker.health_path = "/health"
     with pytest.raises(asyncio.CancelledError):
         asyncio.run(asker.run())
     assert pauses == [pytest.approx(pause)] * QUESTIONS
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -6,7 +6,7 @@
 
 from wheatslip.chooser import DEAD_AFTER, DEAD_AFTER_FAILURES
 from wheatslip.store.instances import INSTANCE_KIND
-from wheatslipd.registration.removal import TURN_SECONDS
+from wheatslipd.registration.removal import RANK_SECONDS
 
 from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault
@@ -141,7 +141,7 @@
             for second in range(DEAD_AFTER_FAILURES):
                 dead.upstream.on_unreachable(float(second), Random(1))
             remover = daemon.own_server.remover
-            remover._turn = lambda zone: 0
+            remover._rank = lambda zone: 0
             remover._clock = lambda: DEAD_AFTER - 1
             await remover.remove_dead()
             assert (KINDS[INSTANCE_KIND], "b") in one.store.objects
@@ -179,7 +179,7 @@
                 await remover.remove_dead()
             assert len([c for c in one.store.calls if c.startswith("DELETE")]) <= 1
             for remover in removers:
-                remover._clock = lambda: DEAD_AFTER + TURN_SECONDS + 1
+                remover._clock = lambda: DEAD_AFTER + RANK_SECONDS + 1
                 await remover.remove_dead()
             assert [c for c in one.store.calls if c.startswith("DELETE")]
             one.store.fault = Fault.NONE
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -243,7 +243,7 @@
             assert len(backend.arrivals) <= 8 * 1.5 * 0.5 + 4 + 1
 
             async def told():
-                return one.daemons["a"].gate.admission.cold._assumed_until < 0
+                return one.daemons["a"].server_side.gate.admission.cold._assumed_until < 0
 
             await eventually(told)
             assert one.daemons["a"].status().cold
