--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -41,14 +41,14 @@
         if not self._view.draining:
             logs.info("draining", cause=cause, in_flight=self._gate.admission.in_flight)
         self._view.draining = True
-        self._gate.drain()
+        self._gate.server_leaves()
 
     def returned(self) -> None:
         """Take new work again: it was a start before this one that left."""
         if self._view.draining and not self._view.stopping:
             logs.info("drain-taken-back")
             self._view.draining = False
-            self._gate.reopen()
+            self._gate.server_stays()
 
     def bundle_in_force(self, bundle: Bundle) -> None:
         """Apply the limits of the own pool and the workspaces' shares."""
@@ -72,7 +72,7 @@
             self.leaving(f"backend server {registered.server} leaves")
         else:
             self._view.draining = False
-            self._gate.reopen()
+            self._gate.server_stays()
         self._own_server.publish()
 
     def instances_seen(
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -3,16 +3,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wheatslip.admission import Admission, AdmissionSettings
+from wheatslip.admission import Admission, AdmissionSettings, ClosedBy
 from wheatslip.ledger import KeyLedger
 from wheatslip.owners import OwnerHistory
+from wheatslip.slidinglimit import SlidingLimit
 
 from wheatslipd.gate.backend import Backend
-from wheatslipd.gate.gate import Gate
+from wheatslipd.gate.gate import Gate, SpeedProbing
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.gate.measure import Measurer
 from wheatslipd.gate.peerport import PeerPort
-from wheatslipd.settings import Interface, Settings
+from wheatslipd.gate.speedcheck import SpeedCheck
+from wheatslipd.settings import NO_CHECKS, Interface, Settings
 from wheatslipd.shared import Shared
 from wheatslipd.telemetry.tracing import HopTracer
 
@@ -26,6 +28,7 @@
     peer_port: PeerPort
     keys: KeyGuard
     gate: Gate
+    speed_check: SpeedCheck  # used where a backend server registers
     backend: Backend
     measurer: Measurer
 
@@ -39,15 +42,20 @@
     on_newer_version: Callable[[int, str], None],
 ) -> ServerSide:
     """Build the parts; nothing runs yet. For `list_checked` see `KeyGuard`."""
-    gate = Gate(Admission(AdmissionSettings()), shared.view, shared.monotonic)
-    # Whether the zone is emptied is not known yet, so nothing may start.
-    gate.admission.emptied = True
     backend = Backend(
         settings.backend_address,
         settings.backend_port,
         BACKEND_CONNECTIONS,
         settings.connect_timeout,
     )
+    speed_check = SpeedCheck(
+        backend,
+        settings.headers,
+        shared.metrics,
+        shared.monotonic,
+        SlidingLimit(settings.checks_per_second),
+    )
+    gate = _gate(settings, shared, speed_check)
     ledger = KeyLedger(watching_since=shared.unix())
     keys = KeyGuard(settings.name, ledger, owners, shared.unix, list_checked)
     peer_port = PeerPort(
@@ -64,7 +72,26 @@
         settings.interface is Interface.ROUTES,
     )
     measurer = _measurer(settings, shared, gate, backend)
-    return ServerSide(peer_port, keys, gate, backend, measurer)
+    return ServerSide(peer_port, keys, gate, speed_check, backend, measurer)
+
+
+def _gate(settings: Settings, shared: Shared, speed_check: SpeedCheck) -> Gate:
+    """The gate, closed until the zone drains are known and a server has registered."""
+    admission = Admission(AdmissionSettings())
+    if not settings.lists_itself:
+        closed_by = (ClosedBy.ZONE_UNKNOWN,)
+        return Gate(admission, shared.view, shared.monotonic, closed_by=closed_by)
+    probing = None
+    if settings.check_price < NO_CHECKS and settings.headers.load:
+        probing = SpeedProbing(speed_check.ask_briefly, settings.check_price)
+    return Gate(
+        admission,
+        shared.view,
+        shared.monotonic,
+        closed_by=(ClosedBy.ZONE_UNKNOWN, ClosedBy.SERVER_UNKNOWN),
+        is_probed=True,
+        probing=probing,
+    )
 
 
 def _measurer(settings: Settings, shared: Shared, gate: Gate, backend: Backend) -> Measurer:
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -12,7 +12,6 @@
 from msgspec import UnsetType
 from wheatslip.admission import ColdRate, cold_rate
 from wheatslip.config.bundle import Pool
-from wheatslip.slidinglimit import SlidingLimit
 from wheatslip.store.instances import Instance, InstanceState
 from wheatslip.store.objects import ObjectStore
 from wheatslip.store.registration import Registered, Registration
@@ -20,12 +19,11 @@
 from wheatslipd.feed.feed import Feed
 from wheatslipd.gate.recoveryprobe import RecoveryProbe
 from wheatslipd.gate.serverside import ServerSide
-from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.http.server import Server
 from wheatslipd.registration.publisher import Publisher
 from wheatslipd.registration.registrar import HeartbeatDecoder, Registrar
 from wheatslipd.registration.removal import DeadEntryRemover
-from wheatslipd.settings import NO_CHECKS, Settings
+from wheatslipd.settings import Settings
 from wheatslipd.shared import Shared
 
 PUBLISH_SECONDS = 0.5  # that a planned stop waits for the last word on our list entry
@@ -73,14 +71,7 @@
             settings.health_path,
             decode,
         )
-        self._check = SpeedCheck(
-            gate,
-            backend,
-            settings.headers,
-            shared.metrics,
-            clock,
-            SlidingLimit(settings.checks_per_second),
-        )
+        self._check = server_side.speed_check
         self._check.use_path(settings.health_path)
         self._probe = RecoveryProbe(gate, self._check, clock, settings.recovery_probe)
         self._publisher = Publisher(store, shared.rng)
@@ -88,12 +79,6 @@
             settings.name, store, shared.view, clock, feed.removal_rank, feed.cache.version_of
         )
         self.registration_server = Server(self._registrar.handle)
-        if settings.check_price < NO_CHECKS and settings.headers.load:
-            gate.ask_speed = self._check.ask_briefly
-            gate.check_price = settings.check_price
-        gate.is_probed = True
-        # Which server stands there, and whether it leaves, is not known yet.
-        gate.admission.unknown = True
 
     async def listen(self) -> None:
         """Listen for heartbeats. Raises OSError."""
@@ -133,7 +118,7 @@
         if registered.warm_at is not None:
             self._gate.admission.cold.told(registered.warm_at - now, now)
         if not registered.draining:
-            self._gate.reopen()
+            self._gate.server_stays()
 
     def take_registration(self, registered: Registered) -> None:
         """Apply the bounds that the server tells; of a new one, ask how fast it is."""
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -6,6 +6,7 @@
 from random import Random
 
 import aiohttp
+from wheatslip.admission import ClosedBy
 from wheatslipd.daemon import Adapters, Daemon
 from wheatslipd.settings import parse_settings
 
@@ -181,7 +182,7 @@
             return all(
                 d.status().version == version
                 and d.status().members == len(self.daemons)
-                and not d.server_side.gate.admission.unknown
+                and not d.server_side.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
                 for d in self.daemons.values()
             )
 
@@ -200,7 +201,7 @@
             name: (
                 self.tasks[name].done(),
                 daemon.status(),
-                daemon.server_side.gate.admission.unknown,
+                daemon.server_side.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN),
                 daemon.view.drains,
                 sorted(daemon.feed.cache.instances),
                 daemon.feed.cache.listed,
