--- a/packages/wheatslip-cli/wheatslip_cli/bundle_commands.py
+++ b/packages/wheatslip-cli/wheatslip_cli/bundle_commands.py
@@ -8,7 +8,8 @@
 import cappa
 import msgspec
 from result import Err, Ok
-from wheatslip.config.bundle import Bundle, parse_bundle
+from wheatslip.config.bundle import Bundle
+from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.changes import changes_between
 from wheatslip.config.releases import Proposal, Releases
 from wheatslip.config.signing import load_private_key
--- a/packages/wheatslip/wheatslip/config/zonedrains.py
+++ b/packages/wheatslip/wheatslip/config/zonedrains.py
@@ -29,7 +29,9 @@
 
 
 class StoredDrain(msgspec.Struct, frozen=True):
-    """A drain as the platform keeps it, under the zone's name."""
+    """The value of a drain's object at the platform. The zone is the object's name, and a field
+    of that name in the value, which others than wheatslip may write, is not read.
+    """
 
     asked_by: str = ""
     since: float = 0.0
--- a/test/helper.py
+++ b/test/helper.py
@@ -14,7 +14,8 @@
 import aiohttp
 import msgspec
 from aiohttp import web
-from wheatslip.config.bundle import Bundle, credential_digest, parse_bundle
+from wheatslip.config.bundle import Bundle, credential_digest
+from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.releases import Releases
 from wheatslip.config.signing import load_keyring, load_private_key, write_key_pair
 from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
--- a/test/test_bundle.py
+++ b/test/test_bundle.py
@@ -5,7 +5,8 @@
 
 import pytest
 from result import Err, Ok
-from wheatslip.config.bundle import decode_bundle, parse_bundle
+from wheatslip.config.bundle import decode_bundle
+from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.changes import Change, ChangeKind, changes_between
 from wheatslip.config.head import Head
 from wheatslip.config.releases import Beaten, Refused, Releases
--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -4,7 +4,8 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wheatslip.config.bundle import Route, Split, parse_bundle
+from wheatslip.config.bundle import Route, Split
+from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.changes import ChangeKind, changes_between
 from wheatslip.config.deltas import apply_delta, delta_between
 from wheatslip.config.head import Head
