--- a/bench/memory.py
+++ b/bench/memory.py
@@ -13,7 +13,7 @@
 from statistics import median
 
 from wheatslip.store.instances import INSTANCE_KIND, Instance
-from wheatslip.store.objects import ObjectClient
+from wheatslip.store.objectclient import ObjectClient
 
 from bench.figures import Bound, Figure, add_record_option, report
 from standins.cluster import Cluster, Plan
--- a/packages/wheatslip-cli/wheatslip_cli/bundle_commands.py
+++ b/packages/wheatslip-cli/wheatslip_cli/bundle_commands.py
@@ -7,14 +7,14 @@
 
 import cappa
 import msgspec
-from result import Err, Ok
+from result import Err, Ok, Result
 from wheatslip.config.bundle import Bundle
 from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.changes import changes_between
-from wheatslip.config.releases import Proposal, Releases
-from wheatslip.config.signing import load_private_key
+from wheatslip.config.head import Head
+from wheatslip.config.releases import Proposal, ReleaseError, Releases
 
-from wheatslip_cli.operator import complain_about, run_step
+from wheatslip_cli.operator import complain_about, run_step, signing_key
 from wheatslip_cli.options import DEFAULT_SETTINGS, Output, SettingsFile
 from wheatslip_cli.output import ExitCode, Format, complain, show
 from wheatslip_cli.settings import Settings
@@ -74,7 +74,7 @@
         bundle = read_bundle(self.file)
         if bundle is None:
             return ExitCode.BAD_USAGE
-        show([_row(bundle, "checked", ())], self.output)
+        show([_row(bundle, "checked", [])], self.output)
         return ExitCode.GOOD
 
 
@@ -109,13 +109,7 @@
         """Carry out the command."""
 
         async def step(bundle: Bundle, releases: Releases, settings: Settings) -> ExitCode:
-            match await releases.propose(bundle):
-                case Ok(proposal):
-                    show([_proposal_row(proposal, "proposed")], self.output)
-                    return ExitCode.GOOD
-                case Err(refusal):
-                    return complain_about(refusal)
-            raise AssertionError
+            return _show_proposed(await releases.propose(bundle), self.output)
 
         return run_with_bundle(self.file, self.settings, step)
 
@@ -133,24 +127,13 @@
         """Carry out the command."""
 
         async def step(bundle: Bundle, releases: Releases, settings: Settings) -> ExitCode:
-            if not settings.operator or settings.key is None:
-                return complain(
-                    ExitCode.BAD_USAGE, f"{self.settings}: [operator] name and key are needed"
-                )
-            try:
-                key = load_private_key(settings.key)
-            except (OSError, ValueError) as error:
-                return complain(ExitCode.BAD_USAGE, str(error))
+            key = signing_key(settings, self.settings)
+            if isinstance(key, Err):
+                return complain(ExitCode.BAD_USAGE, key.err_value)
             answer = await releases.sign(
-                bundle.version, bundle.digest(), settings.operator, key
+                bundle.version, bundle.digest(), settings.operator, key.ok_value
             )
-            match answer:
-                case Ok(proposal):
-                    show([_proposal_row(proposal, "proposed")], self.output)
-                    return ExitCode.GOOD
-                case Err(refusal):
-                    return complain_about(refusal)
-            raise AssertionError
+            return _show_proposed(answer, self.output)
 
         return run_with_bundle(self.file, self.settings, step)
 
@@ -196,12 +179,7 @@
             if isinstance(proposals, Err):
                 return complain_about(proposals.err_value)
             now = head.ok_value
-            rows = [
-                _proposal_row(proposal, _state(proposal, now.version, now.digest))
-                if now
-                else _proposal_row(proposal, "proposed")
-                for proposal in proposals.ok_value
-            ]
+            rows = [_proposal_row(one, _state(one, now)) for one in proposals.ok_value]
             show(rows, self.output)
             return ExitCode.GOOD
 
@@ -216,24 +194,36 @@
     command: cappa.Subcommands[Check | Diff | Propose | Sign | Rollout | History]
 
 
-def _state(proposal: Proposal, version: int, digest: str) -> str:
-    if proposal.bundle.version > version:
+def _state(proposal: Proposal, head: Head | None) -> str:
+    version = proposal.bundle.version
+    if head is None or version > head.version:
         return "proposed"
-    if proposal.bundle.version < version:
+    if version < head.version:
         return "past"
-    return "in force" if proposal.bundle.digest() == digest else "beaten"
+    return "in force" if proposal.bundle.digest() == head.digest else "beaten"
+
+
+def _show_proposed(answer: Result[Proposal, ReleaseError], output: Format) -> ExitCode:
+    """Print the proposal that a step led to, or why the step was not taken."""
+    match answer:
+        case Ok(proposal):
+            show([_proposal_row(proposal, "proposed")], output)
+            return ExitCode.GOOD
+        case Err(refusal):
+            return complain_about(refusal)
+    raise AssertionError(answer)
 
 
 def _proposal_row(proposal: Proposal, state: str) -> BundleRow:
     return _row(proposal.bundle, state, proposal.signers)
 
 
-def _row(bundle: Bundle, state: str, signers: object) -> BundleRow:
+def _row(bundle: Bundle, state: str, signers: list[str]) -> BundleRow:
     return BundleRow(
         version=bundle.version,
         digest=bundle.digest()[:12],
         state=state,
-        signed_by=", ".join(signers) if isinstance(signers, list) else "",
+        signed_by=", ".join(signers),
         workspaces=len(bundle.workspaces),
         services=len(bundle.services),
         pools=len(bundle.pools),
--- a/packages/wheatslip-cli/wheatslip_cli/operator.py
+++ b/packages/wheatslip-cli/wheatslip_cli/operator.py
@@ -5,10 +5,12 @@
 from pathlib import Path
 from random import SystemRandom
 
-from result import Err, Ok
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
+from result import Err, Ok, Result
 from wheatslip.config.releases import Beaten, Refused, ReleaseError, Releases
-from wheatslip.config.signing import load_keyring
-from wheatslip.store.objects import ObjectClient, Unavailable
+from wheatslip.config.signing import load_keyring, load_private_key
+from wheatslip.store.objectclient import ObjectClient
+from wheatslip.store.objects import Unavailable
 
 from wheatslip_cli.output import ExitCode, complain
 from wheatslip_cli.settings import Settings, load_settings
@@ -40,6 +42,16 @@
     raise AssertionError
 
 
+def signing_key(settings: Settings, path: Path) -> Result[Ed25519PrivateKey, str]:
+    """The operator's own key; the error is a sentence. `path` is the settings file."""
+    if not settings.operator or settings.key is None:
+        return Err(f"{path}: [operator] name and key are needed")
+    try:
+        return Ok(load_private_key(settings.key))
+    except (OSError, ValueError) as error:
+        return Err(str(error))
+
+
 async def _run(settings: Settings, step: ClientStep) -> ExitCode:
     client = ObjectClient(settings.platform, SystemRandom())
     try:
--- a/packages/wheatslip-cli/wheatslip_cli/zone_commands.py
+++ b/packages/wheatslip-cli/wheatslip_cli/zone_commands.py
@@ -12,12 +12,12 @@
 import msgspec
 from result import Err, Ok
 from wheatslip.config.drainrequests import ZoneDrainRequests
-from wheatslip.config.signing import load_private_key, sign_drain
+from wheatslip.config.signing import sign_drain
 from wheatslip.config.zonedrains import ZoneDrain
 from wheatslip.store.instances import INSTANCE_KIND, decode_instance
-from wheatslip.store.objects import ObjectClient
+from wheatslip.store.objectclient import ObjectClient
 
-from wheatslip_cli.operator import complain_about, run_with_client
+from wheatslip_cli.operator import complain_about, run_with_client, signing_key
 from wheatslip_cli.options import DEFAULT_SETTINGS, Output, SettingsFile
 from wheatslip_cli.output import ExitCode, Format, complain, show
 from wheatslip_cli.settings import Settings
@@ -54,15 +54,11 @@
                 return complain(
                     ExitCode.BAD_USAGE, f"no instance in zone {self.zone!r}; zones: {known}"
                 )
-            if not settings.operator or settings.key is None:
-                return complain(
-                    ExitCode.BAD_USAGE, f"{self.settings}: [operator] name and key are needed"
-                )
-            try:
-                key = load_private_key(settings.key)
-            except (OSError, ValueError) as error:
-                return complain(ExitCode.BAD_USAGE, str(error))
-            drain = sign_drain(ZoneDrain(self.zone, settings.operator, time.time()), key)
+            key = signing_key(settings, self.settings)
+            if isinstance(key, Err):
+                return complain(ExitCode.BAD_USAGE, key.err_value)
+            request = ZoneDrain(self.zone, settings.operator, time.time())
+            drain = sign_drain(request, key.ok_value)
             match await ZoneDrainRequests(client).drain(drain):
                 case Ok(found):
                     show([_row(found, counts)], self.output)
--- a/packages/wheatslip/wheatslip/config/releases.py
+++ b/packages/wheatslip/wheatslip/config/releases.py
@@ -22,7 +22,8 @@
 )
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.signing import Keyring, sign, verify
-from wheatslip.store.objects import Conflict, ObjectClient, StoredObject, Unavailable
+from wheatslip.store.objectclient import ObjectClient
+from wheatslip.store.objects import Conflict, StoredObject, Unavailable
 
 SIGN_TRIES = 5
 
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -11,7 +11,8 @@
 from circuits import Component
 from wheatslip.chooser import Chooser
 from wheatslip.owners import OwnerHistory
-from wheatslip.store.objects import ObjectClient, ObjectStore
+from wheatslip.store.objectclient import ObjectClient
+from wheatslip.store.objects import ObjectStore
 
 from wheatslipd.controllers.bundles import BundleController
 from wheatslipd.controllers.bus import Bus
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -16,7 +16,7 @@
 from wheatslipd.http.messages import MILLISECONDS, RequestHead
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
-from wheatslipd.telemetry.outcomes import describe
+from wheatslipd.telemetry.outcometext import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT, HopTracer
 
 SERVICE_HEADER = b"wheatslip-service"
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -30,7 +30,7 @@
 from wheatslipd.settings import HeaderNames, LogLevel
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
-from wheatslipd.telemetry.outcomes import describe
+from wheatslipd.telemetry.outcometext import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
 TIME_DIGITS = 3  # of seconds that travel with a request
--- a/packages/wheatslipd/wheatslipd/feed/feedpace.py
+++ b/packages/wheatslipd/wheatslipd/feed/feedpace.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass
 
 from wheatslip.distribution.relaytree import WATCHERS
-from wheatslip.store.objects import BACKOFF_LAST, WATCH_SECONDS
+from wheatslip.store.backoff import BACKOFF_LAST
+from wheatslip.store.objects import WATCH_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/wheatslipd/wheatslipd/feed/reader.py
+++ b/packages/wheatslipd/wheatslipd/feed/reader.py
@@ -15,8 +15,9 @@
     bundle_name,
 )
 from wheatslip.config.zonedrains import ZONE_DRAIN_KIND
+from wheatslip.store.backoff import Backoff
 from wheatslip.store.instances import INSTANCE_KIND
-from wheatslip.store.objects import Backoff, ObjectStore, StoredObject
+from wheatslip.store.objects import ObjectStore, StoredObject
 
 from wheatslipd.feed.feedpace import FeedPace
 from wheatslipd.feed.intake import Intake
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -34,7 +34,7 @@
 from wheatslipd.http.messages import MILLISECONDS, Headers, RequestHead, ResponseHead
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.metrics import Metrics
-from wheatslipd.telemetry.outcomes import describe
+from wheatslipd.telemetry.outcometext import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT, HopTrace, HopTracer
 
 CATCH_UP_SECONDS = 0.5  # how long a request waits for a version that its entry has already
--- a/packages/wheatslipd/wheatslipd/registration/publisher.py
+++ b/packages/wheatslipd/wheatslipd/registration/publisher.py
@@ -10,8 +10,9 @@
 
 import msgspec
 from result import Err, Ok
+from wheatslip.store.backoff import Backoff
 from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState, decode_instance
-from wheatslip.store.objects import Backoff, Conflict, ObjectStore, StoredObject
+from wheatslip.store.objects import Conflict, ObjectStore, StoredObject
 
 from wheatslipd.telemetry import logs
 
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -21,7 +21,8 @@
     parse_port,
 )
 from wheatslip.distribution.relaytree import WATCHERS
-from wheatslip.store.objects import BACKOFF_LAST, WATCH_SECONDS
+from wheatslip.store.backoff import BACKOFF_LAST
+from wheatslip.store.objects import WATCH_SECONDS
 
 from wheatslipd.feed.feedpace import FeedPace
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -9,7 +9,8 @@
 
 import msgspec
 from aiohttp import web
-from wheatslip.store.objects import Listing, StoredObject, WriteBody
+from wheatslip.store.objectclient import WriteBody
+from wheatslip.store.objects import Listing, StoredObject
 
 KEPT_CHANGES = 1000
 MAX_VALUE_BYTES = 1_000_000
--- a/test/helper.py
+++ b/test/helper.py
@@ -19,7 +19,7 @@
 from wheatslip.config.releases import Releases
 from wheatslip.config.signing import load_keyring, load_private_key, write_key_pair
 from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
-from wheatslip.store.objects import ObjectClient
+from wheatslip.store.objectclient import ObjectClient
 from wheatslipd.daemon import Daemon
 from wheatslipd.settings import parse_settings
 
--- a/test/test_bundle.py
+++ b/test/test_bundle.py
@@ -18,7 +18,8 @@
     verify,
     write_key_pair,
 )
-from wheatslip.store.objects import Conflict, ObjectClient, TooOld
+from wheatslip.store.objectclient import ObjectClient
+from wheatslip.store.objects import Conflict, TooOld
 
 from standins.platform import Faults
 from test.helper import BUNDLE, OPERATORS, Installation, bundle, run
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -32,7 +32,7 @@
 from wheatslip.distribution.feedcache import Cursor, FeedCache, ListChange
 from wheatslip.distribution.headage import AgeChange, HeadAge
 from wheatslip.store.instances import Instance
-from wheatslip.store.objects import ObjectClient
+from wheatslip.store.objectclient import ObjectClient
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed import relay
 from wheatslipd.feed.feed import Feed
