--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -1,7 +1,11 @@
-"""Settings of the daemon: INI layered over the commented defaults, read into typed objects."""
+"""Settings of the daemon: INI layered over the commented defaults, read into typed objects.
+
+default.ini has the defaults. Those named here apply where a file leaves the value of a key empty;
+a test holds them to default.ini.
+"""
 
 import ipaddress
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import IntEnum, StrEnum
 from pathlib import Path
 from pkgutil import get_data
@@ -20,9 +24,6 @@
     parse_ip_and_port,
     parse_port,
 )
-from wheatslip.distribution.relaytree import WATCHERS
-from wheatslip.store.backoff import BACKOFF_LAST
-from wheatslip.store.objects import WATCH_SECONDS
 
 from wheatslipd.feed.feedpace import FeedPace
 
@@ -36,10 +37,8 @@
     ERROR = 40
 
 
-MAX_ANSWER_HOLD = 16 * 1024 * 1024  # bytes
+MAX_ANSWER_HOLD = 16 * 1024 * 1024  # bytes; chosen, not measured
 NO_CHECKS = 1.0  # the price from which on no request is worth a question
-CHECK_PRICE = 0.05  # default; see default.ini
-CHECKS_PER_SECOND = 20.0  # default
 PLAIN_TEXT_WORDS = ("no", "yes", "trusted-network")
 LOG_LEVELS = {level.name.lower(): level for level in LogLevel}
 _Word = TypeVar("_Word", bound=StrEnum)
@@ -116,20 +115,20 @@
     trace_file: str
     log_level: LogLevel
     log_file: str
-    interface: Interface = Interface.WORKSPACE
-    headers: HeaderNames = field(default_factory=HeaderNames)
-    source: ConfigurationSource = ConfigurationSource.SIGNED
-    answer_hold: int = 0
-    fleet_budget: FleetBudget | None = None
-    registration_port: int | None = None
-    slot_share: float = 1.0
-    cold_overage: float = 1.0
-    cold_slack: float = 0.0
-    recovery_probe: float = 0.1
-    check_price: float = CHECK_PRICE
-    checks_per_second: float = CHECKS_PER_SECOND
-    feed: FeedPace = field(default_factory=FeedPace)
-    stop_listening_after: float = 0.0
+    interface: Interface
+    headers: HeaderNames
+    source: ConfigurationSource
+    answer_hold: int  # bytes
+    fleet_budget: FleetBudget | None
+    registration_port: int | None  # None: the platform lists the instances
+    slot_share: float
+    cold_overage: float
+    cold_slack: float
+    recovery_probe: float
+    check_price: float
+    checks_per_second: float
+    feed: FeedPace
+    stop_listening_after: float
 
     @property
     def lists_itself(self) -> bool:
@@ -186,10 +185,10 @@
         address=address,
         loop=daemon.choice("loop", "uvloop", {"asyncio": "asyncio", "uvloop": "uvloop"}),
         stop_grace=daemon.duration("stop-grace", 30.0),
-        entry_port=_port(sections["entry"]),
-        chooser=_chooser(sections["entry"]),
+        entry_port=_port(entry),
+        chooser=_chooser(entry),
         peer_port=_port(sections["peer"]),
-        control_port=_port(sections["control"]),
+        control_port=_port(control),
         peer_tls=_peer_tls(sections["peer"], address, problems),
         backend_address=_ip(backend, "address"),
         backend_port=backend.get(
@@ -216,33 +215,35 @@
         cold_overage=backend.number("cold-overage", 1.0, 0.1, 1000.0),
         cold_slack=backend.number("cold-slack", 0.0, 0.0, 1e6),
         recovery_probe=backend.duration("recovery-probe", 0.1),
-        check_price=backend.number("check-price", CHECK_PRICE, 0.0, NO_CHECKS),
-        checks_per_second=backend.number("checks-per-second", CHECKS_PER_SECOND, 1.0, 1e4),
+        check_price=backend.number("check-price", 0.05, 0.0, NO_CHECKS),
+        checks_per_second=backend.number("checks-per-second", 20.0, 1.0, 1e4),
         feed=_feed(control, sections["platform"]),
         stop_listening_after=daemon.duration("stop-listening-after", 0.0),
     )
 
 
 def _feed(control: Section, platform: Section) -> FeedPace:
+    default = FeedPace()
     return FeedPace(
-        watchers=control.integer("watchers", WATCHERS, 1, 1000),
-        watch=control.duration("watch", WATCH_SECONDS),
-        watch_check=control.duration("watch-check", 0.0),
-        list_watch=control.duration("list-watch", WATCH_SECONDS),
-        list_pause=control.duration("list-pause", 0.0),
-        retry_last=platform.duration("retry-last", BACKOFF_LAST),
-        settle=control.duration("list-settle", 0.0),
+        watchers=control.integer("watchers", default.watchers, 1, 1000),
+        watch=control.duration("watch", default.watch),
+        watch_check=control.duration("watch-check", default.watch_check),
+        list_watch=control.duration("list-watch", default.list_watch),
+        list_pause=control.duration("list-pause", default.list_pause),
+        retry_last=platform.duration("retry-last", default.retry_last),
+        settle=control.duration("list-settle", default.settle),
     )
 
 
 def _chooser(section: Section) -> ChooserSettings:
+    default = ChooserSettings()
     return ChooserSettings(
-        candidates=section.integer("candidates", 4, 1, 1000),
-        far_penalty=section.duration("far-penalty", 0.002),
-        bounce_wait=section.duration("bounce-wait", 0.008),
-        warm_up=section.duration("warm-up", 5.0),
-        miss_penalty=section.duration("miss-penalty", 0.0),
-        max_bounces=section.integer("max-bounces", 2, 0, 100),
+        candidates=section.integer("candidates", default.candidates, 1, 1000),
+        far_penalty=section.duration("far-penalty", default.far_penalty),
+        bounce_wait=section.duration("bounce-wait", default.bounce_wait),
+        warm_up=section.duration("warm-up", default.warm_up),
+        miss_penalty=section.duration("miss-penalty", default.miss_penalty),
+        max_bounces=section.integer("max-bounces", default.max_bounces, 0, 100),
     )
 
 
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -5,8 +5,9 @@
 
 from opentelemetry.sdk.trace.export import SimpleSpanProcessor
 from opentelemetry.sdk.trace.export.in_memory_span_exporter import InMemorySpanExporter
+from wheatslip.config.ini import Problems, read_ini
 from wheatslipd.run import uses_io_uring
-from wheatslipd.settings import LogLevel, parse_settings
+from wheatslipd.settings import LogLevel, default_text, parse_settings
 from wheatslipd.telemetry.logs import KeyValueDestination, render
 from wheatslipd.telemetry.tracing import HopTracer
 
@@ -26,6 +27,13 @@
 """
 
 
+EMPTY_IS_ANOTHER_VALUE = {
+    ("daemon", "address"),
+    ("backend", "address"),
+    ("backend", "health-path"),
+}
+
+
 def test_good_settings_are_read_over_the_defaults():
     settings = parse_settings(GOOD, "d.ini").unwrap()
     assert settings.backend_port == 8000
@@ -33,6 +41,25 @@
     assert settings.peer_tls is None
 
 
+def test_a_key_that_is_left_empty_has_the_default_of_the_commented_file():
+    """But for texts, where empty means none, and for keys that must not be empty."""
+    default = parse_settings(GOOD, "d.ini").unwrap()
+    given = read_ini(GOOD, Problems("d.ini"))
+    skipped = {(section, key) for section, keys in given.items() for key in keys}
+    skipped |= EMPTY_IS_ANOTHER_VALUE
+    held = set()
+    for section, keys in read_ini(default_text(), Problems("default.ini")).items():
+        for key, text in keys.items():
+            if not text or (section, key) in skipped:
+                continue
+            title = f"[{section}]"
+            own = GOOD if title in GOOD else GOOD + f"{title}\n"
+            emptied = own.replace(title, f"{title}\n{key} =")
+            assert parse_settings(emptied, "d.ini").unwrap() == default, (section, key)
+            held.add((section, key))
+    assert len(held) > 30
+
+
 def test_every_problem_is_named_with_file_section_key_and_what_is_right():
     bad = (
         GOOD.replace("port = 8000", "port = high\ncolour = red")
