--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -22,7 +22,7 @@
 from wheatslipd.controllers.view import View
 from wheatslipd.controllers.zones import ZoneController
 from wheatslipd.entry.wiring import build_entry
-from wheatslipd.feed.feed import Feed
+from wheatslipd.feed.feed import Feed, Member, Surroundings
 from wheatslipd.feed.proof import proof_of
 from wheatslipd.gate.serverside import build_server_side
 from wheatslipd.http.server import Server
@@ -87,15 +87,10 @@
 
         # Configuration, zone drains and the list of instances, which all parts below read.
         self.feed = Feed(
-            settings.name,
-            settings.zone,
-            store,
+            Member(settings.name, settings.zone, settings.feed),
+            Surroundings(store, tls, rng, unix),
             proof_of(settings),
             self.bus,
-            tls,
-            rng,
-            unix,
-            settings.feed,
         )
         # A request's way: the entry of one daemon, then the server side of another or this one.
         cache = self.feed.cache
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -12,7 +12,7 @@
 from wheatslipd.gate.gate import Gate, SpeedProbing
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.gate.measure import Measurer
-from wheatslipd.gate.peerport import PeerPort
+from wheatslipd.gate.peerport import BackendWay, PeerPort, PeerTerms
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.settings import NO_CHECKS, Interface, Settings
 from wheatslipd.shared import Shared
@@ -60,16 +60,12 @@
     keys = KeyGuard(settings.name, ledger, owners, shared.unix, list_checked)
     peer_port = PeerPort(
         shared.view,
-        gate,
-        backend,
-        keys,
+        BackendWay(keys, gate, backend),
+        PeerTerms(settings.pool, settings.headers, settings.interface is Interface.ROUTES),
         shared.metrics,
         tracer,
         shared.monotonic,
         on_newer_version,
-        settings.pool,
-        settings.headers,
-        settings.interface is Interface.ROUTES,
     )
     measurer = _measurer(settings, shared, gate, backend)
     return ServerSide(peer_port, keys, gate, speed_check, backend, measurer)
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -1,7 +1,7 @@
 """Settings of the daemon: INI layered over the commented defaults, read into typed objects.
 
-default.ini has the defaults. Those named here apply where a file leaves the value of a key empty;
-a test holds them to default.ini.
+default.ini has the defaults. Those named here apply where a file leaves a value empty; a test
+holds them to default.ini.
 """
 
 import ipaddress
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -19,7 +19,6 @@
 from wheatslip.distribution.relaytree import (
     FANOUT,
     WATCHERS,
-    depth_of,
     is_watcher,
     parents_of,
     relay_order,
@@ -27,8 +26,8 @@
     watcher_ring,
 )
 from wheatslip.store.instances import Instance
-from wheatslipd.http.client import Pool
 from wheatslipd.http.messages import RequestHead
+from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
 from wheatslipd.settings import TlsFiles
 from wheatslipd.tls import peer_tls
@@ -37,6 +36,7 @@
 from standins.platform import Faults
 from test.helper import BUNDLE, Installation, bundle, run
 from test.test_http import echo
+from test.test_tree_model import depth_of
 
 
 def test_the_tree_reaches_everyone_without_rings_and_with_bounded_fan_out():
@@ -46,7 +46,7 @@
     for name in order[WATCHERS:]:
         assert all(order.index(p) < order.index(name) for p in parents_of(name, order))
     assert max(first_parents.count(name) for name in order) <= FANOUT
-    assert depth_of(len(order)) == 6
+    assert depth_of(order) == 6
 
 
 def test_who_is_not_listed_watches_for_itself():
@@ -351,10 +351,10 @@
         ours, theirs = (peer_tls(files) for files in authorities)
         server = Server(echo, ours.server)
         await server.listen(HOST, 0)
-        connection = await Pool(HOST, server.port, 1, ours.client).take(5.0)
+        connection = await ConnectionPool(HOST, server.port, 1, ours.client).take(5.0)
         await connection.start_with_body(RequestHead(b"GET", b"/a", []), b"")
         assert await (await connection.response()).body.read_up_to(10) == b"/a "
-        assert await Pool(HOST, server.port, 1, theirs.client).take(5.0) is None
+        assert await ConnectionPool(HOST, server.port, 1, theirs.client).take(5.0) is None
         bare = ssl.create_default_context()
         bare.check_hostname = False
         bare.verify_mode = ssl.CERT_NONE
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -35,7 +35,7 @@
 from wheatslip.store.objectclient import ObjectClient
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed import relay
-from wheatslipd.feed.feed import Feed
+from wheatslipd.feed.feed import Feed, Member, Surroundings
 from wheatslipd.feed.feedpace import FeedPace
 from wheatslipd.feed.proof import TrustedPlatform
 from wheatslipd.tls import PeerTls
@@ -121,7 +121,7 @@
 
 def test_an_update_that_is_long_for_its_link_is_not_taken_for_silence(monkeypatch):
     """It takes twice as long as a parent may be silent, also packed."""
-    monkeypatch.setattr(relay, "SILENCE_SECONDS", 0.4)
+    monkeypatch.setattr(relay, "SILENCE_TIMEOUT", 0.4)
 
     async def scenario():
         random = Random(1)
@@ -143,7 +143,7 @@
         updates = relay.follow_parent(parent, Cursor("child"), PeerTls())
         async with aclosing(updates):
             assert (await anext(updates)).signed == signed
-        assert link.carried / LINK > 2 * relay.SILENCE_SECONDS
+        assert link.carried / LINK > 2 * relay.SILENCE_TIMEOUT
         await link.close()
         await server.stop()
 
@@ -174,15 +174,10 @@
         await giver.listen(HOST, 0)
         store = CountingStore()
         feed = Feed(
-            "b",
-            "one",
-            store,
+            Member("b", "one", FeedPace()),
+            Surroundings(store, PeerTls(), Random(1), time.time),
             TrustedPlatform(),
             Bus(),
-            PeerTls(),
-            Random(1),
-            time.time,
-            FeedPace(),
         )
         feed.cache.take_list(
             1,
