--- a/packages/wheatslipd/wheatslipd/feed/access.py
+++ b/packages/wheatslipd/wheatslipd/feed/access.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from wheatslip.store.objects import Backoff, Listing, ObjectStore, Unavailable, follow
+from wheatslip.store.backoff import Backoff
+from wheatslip.store.objects import Listing, ObjectStore, Unavailable, follow
 
 from wheatslipd.feed.feedpace import FeedPace
 from wheatslipd.feed.intake import Intake
--- a/test/test_forms.py
+++ b/test/test_forms.py
@@ -29,7 +29,8 @@
 import msgspec
 import pytest
 from wheatslip.config import signing
-from wheatslip.config.bundle import decode_bundle, parse_bundle
+from wheatslip.config.bundle import decode_bundle
+from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.deltas import BundleDelta
 from wheatslip.config.head import Head
 from wheatslip.config.signedbundle import SignedBundle
@@ -39,7 +40,8 @@
 from wheatslip.hop import decode_hop, decode_load, decode_refusal, encode, encode_outcome
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
 from wheatslip.store.instances import Instance, decode_instance
-from wheatslip.store.objects import Listing, ObjectClient, StoredObject, WriteBody
+from wheatslip.store.objectclient import ObjectClient, WriteBody
+from wheatslip.store.objects import Listing, StoredObject
 from wheatslip.store.registration import Heartbeat
 from wheatslip_cli.main import Wheatslip
 from wheatslip_cli.main import main as operators_main
