--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -34,7 +34,7 @@
 from wheatslipd.http.messages import Headers, RequestHead, ResponseHead
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.metrics import Metrics
-from wheatslipd.telemetry.outcomes import describe
+from wheatslipd.telemetry.outcometext import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT, HopTrace, HopTracer
 
 # Seconds that a request waits for a configuration which its entry has already and this daemon
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 from wheatslip.admission import ClosedBy
-from wheatslipd.daemon import Daemon, Ports
+from wheatslipd.daemon import Adapters, Daemon
 from wheatslipd.settings import parse_settings
 
 from fleet_adapter.heartbeats import decode_heartbeat
@@ -129,8 +129,8 @@
             more_headers=self.more_headers,
         )
         settings = parse_settings(text, name)
-        ports = Ports(FleetStore(store), decode_heartbeat)
-        daemon = Daemon(settings.unwrap(), Random(3), ports=ports)
+        adapters = Adapters(FleetStore(store), decode_heartbeat)
+        daemon = Daemon(settings.unwrap(), Random(3), adapters=adapters)
         self.daemons[name] = daemon
         self.tasks[name] = asyncio.create_task(daemon.run())
         await daemon.listening.wait()
@@ -182,7 +182,7 @@
             return all(
                 d.status().version == version
                 and d.status().members == len(self.daemons)
-                and not d.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
+                and not d.server_side.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
                 for d in self.daemons.values()
             )
 
@@ -201,7 +201,7 @@
             name: (
                 self.tasks[name].done(),
                 daemon.status(),
-                daemon.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN),
+                daemon.server_side.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN),
                 daemon.view.drains,
                 sorted(daemon.feed.cache.instances),
                 daemon.feed.cache.listed,
--- a/test/test_bundle.py
+++ b/test/test_bundle.py
@@ -5,7 +5,8 @@
 
 import pytest
 from result import Err, Ok
-from wheatslip.config.bundle import decode_bundle, parse_bundle
+from wheatslip.config.bundle import decode_bundle
+from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.changes import Change, ChangeKind, changes_between
 from wheatslip.config.head import Head
 from wheatslip.config.releases import Beaten, Refused, Releases
@@ -17,7 +18,8 @@
     verify,
     write_key_pair,
 )
-from wheatslip.store.objects import Conflict, ObjectClient, TooOld
+from wheatslip.store.objectclient import ObjectClient
+from wheatslip.store.objects import Conflict, TooOld
 
 from standins.platform import Faults
 from test.helper import BUNDLE, OPERATORS, Installation, bundle, run
--- a/test/test_many_callers.py
+++ b/test/test_many_callers.py
@@ -48,7 +48,7 @@
                 return daemon.status().ready
 
             async def knows_its_server():
-                return not daemon.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
+                return not daemon.server_side.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
 
             await eventually(is_ready)
             port = daemon.entry_server.port
