--- a/standins/backend.py
+++ b/standins/backend.py
@@ -14,6 +14,9 @@
 from wheatslipd.http.messages import ResponseHead
 from wheatslipd.http.server import Server
 
+HOST = "127.0.0.1"
+SEED = 1  # of the service times
+
 
 class Behaviour(msgspec.Struct):
     """What the stand-in does. Times in seconds; `slow` multiplies the service time."""
@@ -23,8 +26,6 @@
     sigma: float = 0.5  # of the lognormal service time
     slow: float = 1.0
     fail_fast: bool = False
-    draining: bool = False
-    answer_bytes: int = 0
 
 
 class Run(msgspec.Struct, frozen=True):
@@ -74,9 +75,7 @@
 
     async def _health(self, exchange: Exchange) -> None:
         self._probes += 1
-        behaviour = self._behaviour
-        headers = [(b"x-draining", b"yes" if behaviour.draining else b"no")]
-        await exchange.respond(ResponseHead(200, headers), b"{}")
+        await exchange.respond(ResponseHead(200), b"{}")
 
     async def _serve(self, exchange: Exchange) -> None:
         behaviour = self._behaviour
@@ -114,7 +113,6 @@
         workspace = head.get(b"wheatslip-workspace") or b""
         words = [self._name.encode(), workspace, request_id, b"%d" % size]
         body = b" ".join(words) + b"\n"
-        body += b"x" * self._behaviour.answer_bytes
         await exchange.respond(ResponseHead(200, headers), body)
 
     def _record(self) -> Record:
@@ -128,16 +126,13 @@
 async def _main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--name", default="backend")
-    parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--slots", type=int, default=12)
     parser.add_argument("--service", type=float, default=0.004)
-    parser.add_argument("--sigma", type=float, default=0.5)
-    parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    behaviour = Behaviour(options.slots, options.service, options.sigma)
-    stand_in = BackendStandIn(options.name, behaviour, Random(options.seed))
-    await stand_in.server.listen(options.host, options.port)
+    behaviour = Behaviour(options.slots, options.service)
+    stand_in = BackendStandIn(options.name, behaviour, Random(SEED))
+    await stand_in.server.listen(HOST, options.port)
     print(f"listening {stand_in.server.port}", flush=True)
     await asyncio.Event().wait()
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -115,7 +115,6 @@
         app.router.add_put("/objects/{kind}/{name}", self._put)
         app.router.add_delete("/objects/{kind}/{name}", self._delete)
         app.router.add_put("/stand-in/faults", self._set_faults)
-        app.router.add_get("/stand-in/calls", self._calls)
         return app
 
     @web.middleware
@@ -196,9 +195,6 @@
         self.faults = msgspec.json.decode(await request.read(), type=Faults)
         return web.Response(status=204)
 
-    async def _calls(self, request: web.Request) -> web.Response:
-        return _json(self.calls)
-
 
 def _json(value: object, status: int = 200) -> web.Response:
     body = msgspec.json.encode(value)
@@ -220,10 +216,9 @@
 
 async def _main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
     options = parser.parse_args()
-    _, port, _ = await serve(options.host, options.port)
+    _, port, _ = await serve("127.0.0.1", options.port)
     print(f"listening {port}", flush=True)
     await asyncio.Event().wait()
 
--- a/test/helper.py
+++ b/test/helper.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
+from typing import Any
 
 import aiohttp
 import msgspec
@@ -21,7 +22,7 @@
 from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 from wheatslip.store.objectclient import ObjectClient
 from wheatslipd.daemon import Daemon
-from wheatslipd.settings import parse_settings
+from wheatslipd.settings import Settings, parse_settings
 
 from standins.backend import BackendStandIn, Behaviour
 from standins.caller import Caller
@@ -63,6 +64,18 @@
     asyncio.run(bounded())
 
 
+async def start_daemon(
+    settings: Settings, seed: int = SEED, **parts: Any
+) -> tuple[Daemon, asyncio.Task[int]]:
+    """Start a daemon as a task of this loop; returns both once it listens. `parts` are passed
+    on to `Daemon`.
+    """
+    daemon = Daemon(settings, Random(seed), **parts)
+    task = asyncio.create_task(daemon.run())
+    await daemon.listening.wait()
+    return daemon, task
+
+
 @dataclass(slots=True)
 class ShiftedClock:
     """Unix time that a test moves; daemons start in its past, so that keys made now are
@@ -75,6 +88,15 @@
         return time.time() + self.shift
 
 
+def ports_of(daemon: Daemon) -> dict[str, int]:
+    """The ports of a daemon that listens, as an `Instance` names them."""
+    return {
+        "entry_port": daemon.entry_server.port,
+        "peer_port": daemon.peer_server.port,
+        "control_port": daemon.feed.relay.port,
+    }
+
+
 @dataclass(slots=True)
 class Node:
     """A backend server with its daemon."""
@@ -144,15 +166,9 @@
             f"[operators]\nkeyring = {self.folder}\n",
             name,
         ).unwrap()
-        daemon = Daemon(settings, Random(SEED), unix=self.clock)
-        task = asyncio.create_task(daemon.run())
-        await daemon.listening.wait()
-        ports = (
-            daemon.entry_server.port,
-            daemon.peer_server.port,
-            daemon.feed.relay.port,
-        )
-        node = Node(Instance(name, pool, zone, HOST, *ports), backend, daemon, task)
+        daemon, task = await start_daemon(settings, unix=self.clock)
+        instance = Instance(name, pool, zone, HOST, **ports_of(daemon))
+        node = Node(instance, backend, daemon, task)
         self.nodes[name] = node
         await self.list_instance(node, InstanceState.LIVE)
         return node
@@ -162,15 +178,10 @@
         it listens.
         """
         before = self.nodes[name]
-        daemon = Daemon(before.daemon.settings, Random(SEED), unix=self.clock)
-        task = asyncio.create_task(daemon.run())
-        await daemon.listening.wait()
+        daemon, task = await start_daemon(before.daemon.settings, unix=self.clock)
+        incarnation = before.instance.incarnation + 1
         instance = msgspec.structs.replace(
-            before.instance,
-            entry_port=daemon.entry_server.port,
-            peer_port=daemon.peer_server.port,
-            control_port=daemon.feed.relay.port,
-            incarnation=before.instance.incarnation + 1,
+            before.instance, incarnation=incarnation, **ports_of(daemon)
         )
         node = Node(instance, before.backend, daemon, task, before.listed_version)
         self.nodes[name] = node
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -3,7 +3,6 @@
 import asyncio
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
-from random import Random
 
 import aiohttp
 from wheatslip.admission import ClosedBy
@@ -17,6 +16,7 @@
 from standins.cluster import HOST, eventually
 from standins.link import NarrowLink
 from standins.plainbackend import PlainBackend
+from test.helper import start_daemon
 
 SETTINGS = """
 [daemon]
@@ -128,12 +128,11 @@
             more_backend=self.more_backend,
             more_headers=self.more_headers,
         )
-        settings = parse_settings(text, name)
+        settings = parse_settings(text, name).unwrap()
         adapters = Adapters(FleetStore(store), decode_heartbeat)
-        daemon = Daemon(settings.unwrap(), Random(3), adapters=adapters)
-        self.daemons[name] = daemon
-        self.tasks[name] = asyncio.create_task(daemon.run())
-        await daemon.listening.wait()
+        self.daemons[name], self.tasks[name] = await start_daemon(
+            settings, seed=3, adapters=adapters
+        )
 
     async def _store_port(self, name):
         """Where a daemon finds the store: behind its link or its door, if it has one."""
