--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -1,11 +1,16 @@
 """The documents' own claims that a program can check."""
 
+import ast
+import configparser
 import re
 from pathlib import Path
 
 from wheatslipd.telemetry.metrics import Metrics
 
-DOCS = Path(__file__).parent.parent / "docs"
+ROOT = Path(__file__).parent.parent
+DOCS = ROOT / "docs"
+LIBRARY = ROOT / "packages/wheatslip/wheatslip"
+DAEMON = ROOT / "packages/wheatslipd/wheatslipd"
 
 
 def test_the_embedding_example_runs():
@@ -22,3 +27,58 @@
     for name in metrics.registry.collectors:
         short = name.removeprefix("wheatslip")
         assert name in text or short in text, name
+
+
+def logged_events():
+    """The names of all events that the daemon and the adapter log."""
+    events = set()
+    for folder in (DAEMON, ROOT / "platform"):
+        for path in folder.rglob("*.py"):
+            for node in ast.walk(ast.parse(path.read_text())):
+                if isinstance(node, ast.Call) and ast.unparse(node.func).startswith("logs."):
+                    events |= {a.value for a in node.args[:1] if isinstance(a, ast.Constant)}
+    return events
+
+
+def rows(text, head):
+    """The first cells of the table whose head begins so."""
+    table = text[text.index(f"| {head} |") :].split("\n\n")[0]
+    return [line.split("|")[1] for line in table.splitlines()[2:]]
+
+
+def test_every_event_of_the_handbook_is_logged():
+    text = (DOCS / "OPERATIONS.md").read_text()
+    named = {name for cell in rows(text, "event") for name in re.findall(r"`([a-z-]+)`", cell)}
+    assert named
+    assert named <= logged_events(), named - logged_events()
+
+
+def test_every_event_above_debug_is_in_the_handbook():
+    text = (DOCS / "OPERATIONS.md").read_text()
+    for event in logged_events() - {"older-bundle-ignored", "older-zone-drains-ignored"}:
+        assert f"`{event}`" in text, event
+
+
+def test_every_metric_of_the_handbook_exists():
+    text = (DOCS / "OPERATIONS.md").read_text()
+    known = set(Metrics("papers-1", "wien-a").registry.collectors)
+    assert set(re.findall(r"`(wheatslip_[a-z_]+)`", text)) <= known
+
+
+def test_every_module_of_the_architecture_exists():
+    text = (DOCS / "ARCHITECTURE.md").read_text()
+    named = set(re.findall(r"`([a-z]+/[a-z]*)`", text))
+    assert named
+    for name in named:
+        places = [folder / name for folder in (LIBRARY, DAEMON, ROOT)]
+        assert any(p.is_dir() or p.with_suffix(".py").is_file() for p in places), name
+
+
+def test_every_setting_of_the_handbook_exists():
+    text = (DOCS / "OPERATIONS.md").read_text()
+    defaults = configparser.ConfigParser(interpolation=None)
+    defaults.read(DAEMON / "default.ini")
+    named = re.findall(r"`\[([a-z]+)\]\s([a-z-]+)(?: = [^`]*)?`", text)
+    assert named
+    for section, key in named:
+        assert defaults.has_option(section, key), (section, key)
