--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -1,7 +1,7 @@
 """The parts of a daemon whose backend server registers with it, where no platform lists it.
 
-They belong together: heartbeats open or close the gate, the gate's doubts are cleared by the
-health endpoint, and what changes is told to the list.
+Heartbeats open or close the gate, the health endpoint is asked while the state of the server is
+unknown, and what changes is written to the list.
 """
 
 import asyncio
@@ -26,7 +26,8 @@
 from wheatslipd.settings import Settings
 from wheatslipd.shared import Shared
 
-PUBLISH_SECONDS = 0.5  # that a planned stop waits for the last word on our list entry
+# Seconds that a planned stop waits for the last write of our list entry; chosen, not measured.
+PUBLISH_TIMEOUT = 0.5
 
 
 class ListedPorts(NamedTuple):
@@ -93,7 +94,7 @@
         return [loop.create_task(part.run()) for part in parts]
 
     async def find(self) -> None:
-        """Ask who stands there, while that is in question."""
+        """Ask the server for its id while that is unknown or disputed. Runs until cancelled."""
         await self._registrar.run()
 
     def take_bounds(self, pool: Pool) -> int:
@@ -113,7 +114,7 @@
         )
 
     def _take_beat(self, registered: Registered) -> None:
-        """The registered server is there, and told when it will be warm."""
+        """The registered server is alive; take over when it will be warm, if it said so."""
         now = self._clock()
         if registered.warm_at is not None:
             self._gate.admission.cold.reported(registered.warm_at - now, now)
@@ -121,7 +122,7 @@
             self._gate.server_stays()
 
     def take_registration(self, registered: Registered) -> None:
-        """Apply the bounds that the server tells; of a new one, ask how fast it is."""
+        """Apply the slots that the server reports; a new server is asked how fast it is."""
         if registered.server != self._server:
             self._take_new(registered)
         self._server = registered.server
@@ -163,8 +164,8 @@
         self._publisher.withdraw()
 
     async def wait_published(self) -> None:
-        """Wait a moment for the last word on our list entry to be said."""
-        await self._publisher.wait_settled(PUBLISH_SECONDS)
+        """Wait, within `PUBLISH_TIMEOUT`, until our list entry is as it should be."""
+        await self._publisher.wait_settled(PUBLISH_TIMEOUT)
 
     def check_entry(
         self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
--- a/packages/wheatslipd/wheatslipd/registration/publisher.py
+++ b/packages/wheatslipd/wheatslipd/registration/publisher.py
@@ -1,7 +1,7 @@
 """The task that keeps this daemon's own entry in the platform's list of instances.
 
-It writes only on a change, and again when the list shows that the entry is not what it
-should be. Who writes for a daemon is the daemon alone.
+It writes on a change, and when the list shows that the entry is not what it should be. No other
+daemon writes this entry, but those that take it for dead remove it (`DeadEntryRemover`).
 """
 
 import asyncio
@@ -16,10 +16,12 @@
 
 from wheatslipd.telemetry import logs
 
-RETRY_LAST = 1.0  # seconds; the entry of a live daemon must not be missing for long
-# Seconds that the first write waits for the list. Without it a daemon that starts again needs
-# three calls (refused creation, read, write) instead of one.
-LIST_PATIENCE = 0.3
+# Longest wait in seconds before a write is tried again; chosen, not measured. Others drop a
+# daemon whose entry is missing for longer than `membership.LAPSE_GRACE`.
+RETRY_LAST = 1.0
+# Seconds that the first write waits for the list; chosen, not measured. Without the list a
+# daemon that starts again needs three calls (refused creation, read, write) instead of one.
+LIST_TIMEOUT = 0.3
 
 
 class Publisher:
@@ -28,17 +30,17 @@
     def __init__(self, store: ObjectStore, rng: Random):
         self._store = store
         self._rng = rng
-        self._wanted: Instance | None = None
-        self._stored: Instance | None = None
-        self._version = 0
-        self._incarnation = 1  # of this start; that of the life before, if any, and one more
-        self._is_first = True
-        self._attempted: Instance | None = None
+        self._wanted: Instance | None = None  # what the entry should be, but its incarnation
+        self._stored: Instance | None = None  # what the platform holds, as far as is known
+        self._version = 0  # of the stored entry; 0: there is none
+        self._incarnation = 1  # of this start: one more than that of the start before, if any
+        self._is_first = True  # nothing of this start, or of one before, was found or written
+        self._attempted: Instance | None = None  # the last write that was sent
         self._changed = asyncio.Event()
         self._settled = asyncio.Event()
         self._listed = asyncio.Event()  # set once a list was seen
-        self._gone = False
-        self._in_doubt = False
+        self._is_withdrawn = False
+        self._needs_read = False  # what the platform holds may differ from `_stored`
 
     def publish(self, instance: Instance) -> None:
         """Message: the entry should be this, but for its incarnation."""
@@ -47,7 +49,7 @@
 
     def withdraw(self) -> None:
         """Message: the instance leaves for good, so the entry should go."""
-        self._gone = True
+        self._is_withdrawn = True
         self._wake()
 
     async def wait_settled(self, seconds: float) -> None:
@@ -59,8 +61,8 @@
     def seen(self, listed: Instance | None, version: int = 0, at: int | None = None) -> None:
         """Message: the list shows this entry in our name; None if it shows none.
 
-        `version` is that of the entry, `at` that of the list; one from before our last write
-        tells nothing, and of a write that is under way its answer will tell.
+        `version` is that of the entry, `at` that of the list. A list from before our last write
+        is ignored, and so is one that shows a write whose answer is still on its way.
         """
         self._listed.set()
         if listed == self._stored or (listed is not None and listed == self._attempted):
@@ -68,16 +70,16 @@
         if at is not None and at < self._version:
             return
         if listed is not None and version and self._is_first and self._attempted is None:
-            # That of the life before. A version that is wrong shows with the first write.
+            # That of the start before. If the version is wrong, the first write is refused.
             self._take_over(listed, version)
             return
-        self._in_doubt = True
+        self._needs_read = True
         self._wake()
 
     async def run(self) -> None:
         """Run until cancelled."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(LIST_PATIENCE):
+            async with asyncio.timeout(LIST_TIMEOUT):
                 await self._listed.wait()
         while True:
             await self._changed.wait()
@@ -97,9 +99,9 @@
 
     async def _step(self, wanted: Instance) -> bool:
         """Write the entry if need be; whether it is as it should be now."""
-        if self._in_doubt and not await self._read(wanted.name):
+        if self._needs_read and not await self._read(wanted.name):
             return False
-        if self._gone:
+        if self._is_withdrawn:
             return await self._delete(wanted.name)
         self._start_anew_after_leaving(wanted)
         entry = msgspec.structs.replace(wanted, incarnation=self._incarnation)
@@ -118,8 +120,8 @@
                 self._learn(found)
                 return False
             case Err(trouble):
-                # It may have been written all the same.
-                self._in_doubt = True
+                # The entry may have been written although no answer came.
+                self._needs_read = True
                 logs.warning("publish-failed", detail=str(trouble), repeat_key="publish")
                 return False
         raise AssertionError
@@ -128,12 +130,14 @@
         match await self._store.get(INSTANCE_KIND, name):
             case Ok(found):
                 self._learn(found)
-                self._in_doubt = False
+                self._needs_read = False
                 return True
         return False
 
     def _start_anew_after_leaving(self, wanted: Instance) -> None:
-        """Others take no word back that an incarnation leaves, so a return needs a new one."""
+        """Take a new incarnation if the server is live again after its entry said that it
+        leaves: others never send anything to an incarnation again that was listed as leaving.
+        """
         stored = self._stored
         if stored is None or wanted.state is InstanceState.LEAVING:
             return
@@ -163,7 +167,7 @@
         self._version = version
         if not self._is_first or stored is None:
             return
-        # What we wrote ourselves, and lost the answer to, is not of a life before.
+        # An entry that equals our last write is ours: its answer was lost.
         if stored != self._attempted:
             self._incarnation = stored.incarnation + 1
         self._is_first = False
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -1,7 +1,8 @@
-"""Registration of the backend server beside us, where no platform lists it.
+"""The port on which the backend server beside this daemon registers by heartbeats.
 
-It registers by heartbeats on a port of its own. Until the first one its health endpoint is
-asked, so that a daemon that was restarted gets to work at once. Each change goes to the bus.
+It is open where no platform lists the instances. Until the first heartbeat the health endpoint
+is asked, so that a daemon that was restarted need not wait for one. Each change is fired on the
+bus.
 """
 
 import asyncio
@@ -22,10 +23,12 @@
 from wheatslipd.telemetry import logs
 
 PATH = b"/heartbeats/"
-MAX_HEARTBEAT_BYTES = 64 * 1024
-ASK_SECONDS = 0.25  # from one question to the health endpoint to the next
+MAX_HEARTBEAT_BYTES = 64 * 1024  # chosen, not measured
+# Seconds from the begin of one question to the health endpoint to the begin of the next; and
+# until a question without an answer is given up. Chosen, not measured.
+ASK_SECONDS = 0.25
 ASK_TIMEOUT = 0.25
-GOOD = 200
+GOOD = 200  # HTTP status of the health endpoint
 
 HeartbeatDecoder = Callable[[bytes], Heartbeat | None]
 
@@ -53,8 +56,8 @@
         health_path: str,
         decode: HeartbeatDecoder = decode_heartbeat,
     ):
-        """`on_load` hears of the load that the health endpoint tells, `on_beat` of each
-        heartbeat of the server that is registered, changed or not.
+        """`on_load` takes the load that the health endpoint reports; `on_beat` is called with
+        each heartbeat of the registered server, also of one that changes nothing.
         """
         self._on_beat = on_beat
         self._on_load = on_load
@@ -79,7 +82,7 @@
         except BodyBroken:
             return
         if head.method == b"DELETE":
-            self._tell(self._registration.on_goodbye(server))
+            self._apply(self._registration.on_goodbye(server))
             await exchange.respond(ResponseHead(200))
             return
         beat = self._decode(body) if head.method == b"PUT" else None
@@ -87,7 +90,7 @@
             logs.warning("heartbeat-unreadable", server=server, repeat_key=server)
             await exchange.respond(ResponseHead(400))
             return
-        self._tell(self._registration.on_heartbeat(server, beat, self._clock()))
+        self._apply(self._registration.on_heartbeat(server, beat, self._clock()))
         current = self._registration.current
         if current is not None and current.server == server:
             self._on_beat(current)
@@ -97,8 +100,8 @@
         await exchange.respond(ResponseHead(200), b"{}")
 
     async def run(self) -> None:
-        """Ask the health endpoint who is there until someone has registered, and again where
-        two ids say that they are there. Runs until cancelled.
+        """Ask the health endpoint for its id until a server has registered, and again while two
+        ids claim to be the server here. Runs until cancelled.
         """
         while True:
             while self._is_in_question():
@@ -106,8 +109,9 @@
                 if self.health_path:
                     await self._ask()
                 if self._is_in_question():
-                    # Counted from the question's begin: one that ran out of time, as the start
-                    # held up the loop, is asked again at once, not after 0.25 s of refusals.
+                    # Counted from the begin of the question: after one that timed out, because
+                    # the start held up the loop, the next follows at once. Waiting 0.25 s more
+                    # would refuse all callers for that time.
                     await asyncio.sleep(max(0.0, began + ASK_SECONDS - self._clock()))
             self._disputed.clear()
             await self._disputed.wait()
@@ -127,11 +131,12 @@
         well = found.status == GOOD
         remaining = cold_remaining(found, self._names.cold)
         warm_at = None if remaining is None else self._clock() + remaining
-        self._tell(self._registration.on_health(server, slots, well=well, warm_at=warm_at))
+        self._apply(self._registration.on_health(server, slots, well=well, warm_at=warm_at))
         if load is not None:
             self._on_load(load)
 
-    def _tell(self, changed: bool) -> None:
+    def _apply(self, changed: bool) -> None:
+        """Log and fire what is registered now, if that has changed."""
         current = self._registration.current
         if changed and current is not None:
             logs.info(
--- a/packages/wheatslipd/wheatslipd/registration/removal.py
+++ b/packages/wheatslipd/wheatslipd/registration/removal.py
@@ -1,9 +1,10 @@
-"""The task that removes entries of daemons that are gone for good from the platform's list.
+"""The task that removes the entries of dead daemons from the platform's list.
 
-Where daemons write their own entries, nobody else takes back that of one that died. The
-daemons that read the platform for their zone do: the first of them at once, the next later, and
-those of other zones last, so that an entry costs one call whatever the size of the fleet. One
-removed in error, as the two can't reach each other, sees its entry missing and writes it again.
+Where daemons write their own entries, the entry of one that died would stay for ever. The
+daemons that read the platform for their zone remove it, each by its rank: the first at once,
+the next later, and those of other zones last, so that one entry costs one call whatever the
+size of the fleet. A daemon whose entry is removed in error, because only the remover can't
+reach it, sees that its entry is missing and writes it again.
 """
 
 import asyncio
