--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -79,7 +79,7 @@
         return Gate(admission, shared.view, shared.monotonic, closed_by=closed_by)
     probing = None
     if settings.check_price < NO_CHECKS and settings.headers.load:
-        probing = SpeedProbing(speed_check.ask_briefly, settings.check_price)
+        probing = SpeedProbing(speed_check.probe_briefly, settings.check_price)
     return Gate(
         admission,
         shared.view,
