--- a/demo/demo.py
+++ b/demo/demo.py
@@ -31,7 +31,7 @@
     plans,
 )
 from standins.backend import Record, Run
-from standins.caller import Asked, Caller, make_key
+from standins.caller import Caller, Request, make_key
 from standins.cluster import Cluster
 from standins.operators import Desk
 from standins.verdict import Verdict, judge
@@ -41,7 +41,7 @@
 SEED = 20261202
 KILLED = "papers-2"
 DRAINED = "tarifs-1"
-EMPTIED = "linz-c"  # an availability zone
+DRAINED_ZONE = "linz-c"  # an availability zone
 # Seconds until what a gate had let through before it knew has reached its server.
 ON_THE_WAY = 0.5
 SECOND_BUNDLE = "\n[kind papers/preview]\nrepeatable = yes\n"
@@ -57,7 +57,7 @@
     records: dict[str, Record]
     lost_records: list[str]
     exit_codes: list[int]
-    emptied: tuple[float, float] = (0.0, 0.0)  # unix seconds between which the zone was empty
+    zone_drained: tuple[float, float] = (0.0, 0.0)  # from when to when, in unix seconds
     lifetime: float = 0.0  # seconds from the daemons' start to the reading of the records
 
 
@@ -67,7 +67,7 @@
     """Poisson traffic of one workspace over its deployment's services and all entries, until
     `end` and until the troubles are over.
     """
-    tasks: set[asyncio.Task[Asked]] = set()
+    tasks: set[asyncio.Task[Request]] = set()
     while time.monotonic() < end or not over.is_set():
         await asyncio.sleep(caller.rng.expovariate(CALLS_PER_SECOND))
         service = caller.rng.choice(services)
@@ -78,7 +78,7 @@
         key = make_key(caller.rng, time.time()) if once else ""
         body = b"a" * caller.rng.randrange(200) if once else b""
         task = asyncio.create_task(
-            caller.ask(entry, service, kind, once=once, key=key, body=body)
+            caller.send(entry, service, kind, once=once, key=key, body=body)
         )
         tasks.add(task)
         task.add_done_callback(tasks.discard)
@@ -89,7 +89,7 @@
     cluster: Cluster, desk: Desk, observed: Observed, over: asyncio.Event
 ) -> None:
     """A backend server with its daemon is killed, another drains, a bundle is rolled out, and a
-    zone is emptied and taken back.
+    zone is drained and restored.
     """
     part = TRAFFIC_SECONDS / 6
     await asyncio.sleep(part)
@@ -106,27 +106,27 @@
     print("rolling out the second bundle", flush=True)
     await roll_out(cluster, desk, 2, observed)
     await asyncio.sleep(part / 2)
-    await empty_zone(cluster, desk, part, observed)
+    await drain_zone(cluster, desk, part, observed)
     over.set()
 
 
-async def empty_zone(cluster: Cluster, desk: Desk, seconds: float, observed: Observed) -> None:
-    """An operator empties a zone for a while, under load."""
-    print(f"emptying {EMPTIED}", flush=True)
-    await desk.empty_zone(EMPTIED)
-    await cluster.wait_for_emptied(EMPTIED)
+async def drain_zone(cluster: Cluster, desk: Desk, seconds: float, observed: Observed) -> None:
+    """An operator drains a zone for a while, under load."""
+    print(f"draining zone {DRAINED_ZONE}", flush=True)
+    await desk.drain_zone(DRAINED_ZONE)
+    await cluster.wait_for_drained_zones(DRAINED_ZONE)
     began = time.time() + ON_THE_WAY
     await asyncio.sleep(seconds)
-    observed.emptied = (began, time.time())
-    await desk.restore_zone(EMPTIED)
-    await cluster.wait_for_emptied()
-    print(f"{EMPTIED} is taken back", flush=True)
+    observed.zone_drained = (began, time.time())
+    await desk.restore_zone(DRAINED_ZONE)
+    await cluster.wait_for_drained_zones()
+    print(f"zone {DRAINED_ZONE} is restored", flush=True)
 
 
-def runs_in_emptied_zone(observed: Observed) -> int:
-    """Requests that ran in the zone while it was to be empty."""
-    began, ended = observed.emptied
-    servers = [plan.name for plan in plans() if plan.zone == EMPTIED]
+def runs_in_drained_zone(observed: Observed) -> int:
+    """Count the requests that ran in the zone while it was drained."""
+    began, ended = observed.zone_drained
+    servers = [plan.name for plan in plans() if plan.zone == DRAINED_ZONE]
     runs = [run for name in servers for run in observed.records[name].runs]
     return sum(began < run.at < ended for run in runs)
 
@@ -140,7 +140,7 @@
     observed.rollout_seconds.append(time.monotonic() - released)
 
 
-async def run(folder: Path) -> tuple[list[Asked], Observed]:
+async def run(folder: Path) -> tuple[list[Request], Observed]:
     """Start everything, run the traffic and the troubles, stop everything."""
     cluster = Cluster(folder)
     observed = Observed([], {}, [], [])
@@ -166,10 +166,10 @@
         )
         await collect(cluster, observed)
         observed.lifetime = time.monotonic() - started
-        asked = [one for caller, _ in callers for one in caller.asked]
+        requests = [one for caller, _ in callers for one in caller.requests]
     finally:
         observed.exit_codes = await cluster.close()
-    return asked, observed
+    return requests, observed
 
 
 def make_callers(cluster: Cluster) -> list[tuple[Caller, list[str]]]:
@@ -191,18 +191,18 @@
             observed.lost_records.append(name)
 
 
-def report(asked: list[Asked], observed: Observed) -> Verdict:
+def report(requests: list[Request], observed: Observed) -> Verdict:
     """Print the summary; returns the verdict."""
     runs: list[Run] = [run for record in observed.records.values() for run in record.runs]
     lost = set(observed.lost_records)
-    verdict = judge(asked, runs)
+    verdict = judge(requests, runs)
     if lost:
         # What a killed server ran after its record was read can't be known.
         verdict.not_run_though_answered.clear()
     table = Table(title="wheatslip demonstration")
     table.add_column("what")
     table.add_column("figure", justify="right")
-    for what, figure in summary(asked, observed, verdict):
+    for what, figure in summary(requests, observed, verdict):
         table.add_row(what, figure)
     Console(width=100).print(table)
     for sentence in verdict.broken:
@@ -210,27 +210,32 @@
     return verdict
 
 
-def summary(asked: list[Asked], observed: Observed, verdict: Verdict) -> list[tuple[str, str]]:
+def summary(
+    requests: list[Request], observed: Observed, verdict: Verdict
+) -> list[tuple[str, str]]:
     """The rows of the summary."""
     histogram = HdrHistogram(1, LONGEST_MICROSECONDS, 3)
-    for one in asked:
+    for one in requests:
         histogram.record_value(max(1, int(one.took * MICROSECONDS)))
     probes = [record.probes / observed.lifetime for record in observed.records.values()]
-    reasons = sorted({one.reason for one in asked if one.reason})
+    reasons = sorted({one.reason for one in requests if one.reason})
     return [
-        ("requests asked", str(verdict.asked)),
+        ("requests", str(verdict.requests)),
         ("answered", str(verdict.answered)),
         ("refused, not run", str(verdict.not_run)),
         ("outcome unknown", str(verdict.unknown)),
         ("reasons", ", ".join(reasons) or "-"),
         ("run twice (must be 0)", str(len(verdict.ran_twice))),
-        ("run though told not (must be 0)", str(len(verdict.ran_though_told_not))),
+        (
+            "run though told not (must be 0)",
+            str(len(verdict.ran_though_reported_not_run)),
+        ),
         ("wrong answers (must be 0)", str(len(verdict.wrong_answers))),
-        (f"run in {EMPTIED} while emptied (must be 0)", str(runs_in_emptied_zone(observed))),
+        (f"run in drained {DRAINED_ZONE} (must be 0)", str(runs_in_drained_zone(observed))),
         ("p50 / p99 at the caller, ms", _percentiles(histogram)),
         ("rollout to in force everywhere, s", _seconds(observed.rollout_seconds)),
         ("probes a second at a backend server, most", f"{max(probes):.2f}"),
-        ("daemons that stopped as asked", str(observed.exit_codes.count(0))),
+        ("daemons that stopped cleanly", str(observed.exit_codes.count(0))),
     ]
 
 
@@ -247,14 +252,14 @@
 def main() -> int:
     """Run the demonstration; returns the exit code."""
     with tempfile.TemporaryDirectory() as folder:
-        asked, observed = asyncio.run(run(Path(folder)))
-    verdict = report(asked, observed)
+        requests, observed = asyncio.run(run(Path(folder)))
+    verdict = report(requests, observed)
     stopped_well = observed.exit_codes.count(0) == len(observed.exit_codes) - 1
     if not stopped_well:
         print(f"BROKEN: exit codes of the daemons: {observed.exit_codes}")
-    in_emptied = runs_in_emptied_zone(observed)
-    if in_emptied or not any(observed.emptied):
-        print(f"BROKEN: {in_emptied} requests ran in the emptied zone")
+    in_drained = runs_in_drained_zone(observed)
+    if in_drained or not any(observed.zone_drained):
+        print(f"BROKEN: {in_drained} requests ran in the drained zone")
         return 1
     if verdict.broken or not stopped_well or not verdict.answered:
         return 1
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -15,7 +15,7 @@
 from soak.course import Step, beside_other_version, draw
 from soak.history import History, Ran, broken_promises
 from soak.installation import SERVICE, SLOTS, Installation
-from standins.caller import Caller, Told
+from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
 from standins.operators import Desk
 
@@ -24,7 +24,7 @@
 ZONES = ("one", "two")
 INSTANCES = 6
 CALLS_PER_SECOND = 40.0
-LOOK_SECONDS = 0.2  # between two looks at the daemons
+OBSERVE_SECONDS = 0.2  # between two readings of all status pages
 LAST_CALLS = 50  # when all faults are over; all of them must be answered
 SECONDS_A_MINUTE = 60.0
 MORE_SETTINGS = "[control]\nwatch = 1s\nlist-watch = 1s\n[entry]\nwarm-up = 0s\n"
@@ -46,20 +46,20 @@
         one = Installation(cluster, Desk(folder), history, digest)
         await one.prepare(plans)
         caller = Caller(cluster.session, WORKSPACE, SECRET, Random(f"calls {seed}"))
-        looking = asyncio.create_task(_look(one))
+        observing = asyncio.create_task(_observe(one))
         over = asyncio.Event()
-        asking = asyncio.create_task(_ask(caller, cluster, seconds, over))
+        sending = asyncio.create_task(_send(caller, cluster, seconds, over))
         await asyncio.gather(*(_carry_out(one, step) for step in steps))
         if updates:
             await one.calm()
-            await _ask_in_calm(caller, cluster, history)
+            await _send_in_calm(caller, cluster, history)
             one.use_own_code()
             await asyncio.gather(*(_carry_out(one, step) for step in updates))
         over.set()
-        await asking
+        await sending
         await one.calm()
-        looking.cancel()
-        await _ask_in_calm(caller, cluster, history)
+        observing.cancel()
+        await _send_in_calm(caller, cluster, history)
         await _collect(one, caller, history)
     finally:
         codes = await cluster.close()
@@ -99,13 +99,13 @@
         await one.end(step)
 
 
-async def _look(one: Installation) -> None:
+async def _observe(one: Installation) -> None:
     while True:
-        await one.look()
-        await asyncio.sleep(LOOK_SECONDS)
+        await one.observe()
+        await asyncio.sleep(OBSERVE_SECONDS)
 
 
-async def _ask(caller: Caller, cluster: Cluster, seconds: float, over: asyncio.Event) -> None:
+async def _send(caller: Caller, cluster: Cluster, seconds: float, over: asyncio.Event) -> None:
     """Traffic at all entries, whether their daemons run or not, on connections kept open, for
     so many seconds and until the course is over.
     """
@@ -120,23 +120,23 @@
         port = member.instance.entry_port
         tasks.add(
             asyncio.create_task(
-                caller.ask(port, "papers", kind, once=once, deadline_ms=2000, body=b"a" * once)
+                caller.send(port, "papers", kind, once=once, deadline_ms=2000, body=b"a" * once)
             )
         )
     await asyncio.gather(*tasks)
 
 
-async def _ask_in_calm(caller: Caller, cluster: Cluster, history: History) -> None:
+async def _send_in_calm(caller: Caller, cluster: Cluster, history: History) -> None:
     for _ in range(LAST_CALLS):
         member = caller.rng.choice(list(cluster.members.values()))
         port = member.instance.entry_port
-        one = await caller.ask(port, "papers", "view", once=False)
-        history.last_asked += 1
-        history.last_answered += one.told is Told.ANSWERED
+        one = await caller.send(port, "papers", "view", once=False)
+        history.last_sent += 1
+        history.last_answered += one.reported is Reported.ANSWERED
 
 
 async def _collect(one: Installation, caller: Caller, history: History) -> None:
-    history.asked = caller.asked
+    history.requests = caller.requests
     for name, member in one.cluster.members.items():
         record = await one.cluster.record(name)
         zone = member.plan.zone
@@ -160,16 +160,17 @@
     with tempfile.TemporaryDirectory() as folder:
         seconds = options.minutes * SECONDS_A_MINUTE
         history = asyncio.run(soak(Path(folder), options.seed, seconds, options.other_version))
-    told = [one.told for one in history.asked]
-    counts = ", ".join(f"{told.count(word)} {word.value}" for word in Told)
+    reported = [one.reported for one in history.requests]
+    counts = ", ".join(f"{reported.count(word)} {word.value}" for word in Reported)
     print(
-        f"seed {options.seed}: {len(told)} requests ({counts}), {len(history.seen)} looks, "
-        f"{len(history.emptied)} zones emptied, {len(history.stopped)} planned stops"
+        f"seed {options.seed}: {len(reported)} requests ({counts}), "
+        f"{len(history.observations)} observations, {len(history.drained_zones)} zone drains, "
+        f"{len(history.stopped)} planned stops"
     )
     broken = broken_promises(history)
     for sentence in broken:
         print(f"BROKEN: {sentence}")
-        for one in history.asked:
+        for one in history.requests:
             if one.request_id in sentence:
                 print(f"  {one}")
     if not broken:
--- a/soak/course.py
+++ b/soak/course.py
@@ -30,7 +30,7 @@
     PLATFORM_SLOW = "platform-slow"
     LOST_WRITES = "lost-writes"  # the platform writes, and does not answer
     ROLLOUT = "rollout"  # the operators bring the next bundle in force
-    EMPTY_ZONE = "empty-zone"  # an operator empties a zone, and takes it back at the end
+    ZONE_DRAIN = "zone-drain"  # an operator drains a zone, and restores it at the end
 
 
 ON_INSTANCE = frozenset(
@@ -91,12 +91,12 @@
     begin, restarts = 26.0, [*others, *own]
     steps = [
         Step(2.0, Fault.ROLLOUT, "", 1.0),
-        Step(6.0, Fault.EMPTY_ZONE, zones[0], 4.0),
+        Step(6.0, Fault.ZONE_DRAIN, zones[0], 4.0),
         Step(13.0, Fault.DRAIN, others[0], 2.0),
         Step(16.0, Fault.DRAIN, own[0], 2.0),
         Step(22.0, Fault.ROLLOUT, "", 1.0),
         *_restarts(restarts, begin),
-        Step(begin + RESTART * len(restarts), Fault.EMPTY_ZONE, zones[1], 4.0),
+        Step(begin + RESTART * len(restarts), Fault.ZONE_DRAIN, zones[1], 4.0),
     ]
     updates = _restarts(others, FIRST)
     return steps, [*updates, Step(updates[-1].end + RESTART, Fault.ROLLOUT, "", 1.0)]
@@ -125,7 +125,7 @@
     if fault in ON_INSTANCE:
         free = [name for name in instances if name not in taken]
         return Step(at, fault, rng.choice(free), length) if len(free) > 1 else None
-    if fault is Fault.EMPTY_ZONE:
+    if fault is Fault.ZONE_DRAIN:
         if any(step.fault is fault for step in running):
             return None
         return Step(at, fault, rng.choice(list(zones)), length)
--- a/soak/installation.py
+++ b/soak/installation.py
@@ -11,7 +11,7 @@
 from wheatslip.store.instances import InstanceState
 
 from soak.course import Fault, Step
-from soak.history import Emptied, History, Seen, Stopped
+from soak.history import DrainedZone, History, Observation, Stopped
 from standins.backend import Behaviour
 from standins.cluster import Cluster, Member, Plan, eventually
 from standins.operators import CommandFailed, Desk
@@ -22,8 +22,8 @@
 SLOW = 8.0  # times
 DELAY = 0.5  # seconds that a slow platform takes
 LOST = 3  # writes in a row whose answers are lost
-# Seconds from the moment at which all daemons knew that a zone is emptied: what a gate had let
-# through before has reached its server by then (a connection takes a quarter of a second).
+# Seconds after all daemons reported that a zone is drained. What a gate let through before has
+# reached its server by then: a connection takes up to a quarter of a second.
 ON_THE_WAY = 0.5
 STATUS_SECONDS = 0.5  # that a status page gets to answer
 CALM_SECONDS = 60.0  # in which all must be well again when the faults are over
@@ -78,7 +78,7 @@
 
     async def begin(self, step: Step) -> None:
         """Bring a fault about."""
-        self._say(f"{step.fault} {step.where} for {step.seconds:.1f} s")
+        self._print(f"{step.fault} {step.where} for {step.seconds:.1f} s")
         member = self.cluster.members.get(step.where)
         match step.fault:
             case Fault.KILL:
@@ -105,8 +105,8 @@
                 await self.cluster.set_faults(Faults(lose_write_answers=LOST))
             case Fault.ROLLOUT:
                 await self._try(self._release)
-            case Fault.EMPTY_ZONE:
-                await self._empty(step)
+            case Fault.ZONE_DRAIN:
+                await self._drain_zone(step)
 
     async def end(self, step: Step) -> None:
         """Take a fault back."""
@@ -126,7 +126,7 @@
                 await self._start_again(member)
             case Fault.PLATFORM_DOWN | Fault.PLATFORM_SLOW | Fault.LOST_WRITES:
                 await self.cluster.set_faults(Faults())
-            case Fault.EMPTY_ZONE:
+            case Fault.ZONE_DRAIN:
                 await self._restore(step.where)
 
     def use_own_code(self) -> None:
@@ -134,11 +134,11 @@
         for member in self.cluster.members.values():
             member.plan = replace(member.plan, checkout=None)
 
-    def _say(self, what: str) -> None:
+    def _print(self, what: str) -> None:
         print(f"{self.now:6.1f} s  {what}", flush=True)
 
-    async def look(self) -> None:
-        """Note what each daemon that answers says of its version."""
+    async def observe(self) -> None:
+        """Note the version that each daemon reports, of those that answer."""
         for name in list(self.cluster.members):
             life = self.lives[name]
             at = self.now
@@ -146,10 +146,10 @@
             if status is not None and life == self.lives[name]:
                 version = status["version"]
                 assert isinstance(version, int)
-                self.history.seen.append(Seen(at, name, life, version))
+                self.history.observations.append(Observation(at, name, life, version))
 
     async def calm(self) -> None:
-        """Wait until all is as if nothing had been."""
+        """Wait until all faults and their effects are over."""
         await self.cluster.set_faults(Faults())
         try:
             await eventually(self._is_calm, CALM_SECONDS)
@@ -199,15 +199,15 @@
         await self.desk.release(version, BUNDLE.format(version=version, digest=self.digest))
         self.version = version
 
-    async def _empty(self, step: Step) -> None:
-        """Empty a zone; from when on it counts is what all daemons say."""
-        if not await self._try(lambda: self.desk.empty_zone(step.where)):
+    async def _drain_zone(self, step: Step) -> None:
+        """Drain a zone. It counts as drained once all daemons report it."""
+        if not await self._try(lambda: self.desk.drain_zone(step.where)):
             return
         end = self.now + step.seconds
         while self.now < end:
             if await self._all_know(step.where):
                 known = self.now + ON_THE_WAY
-                self.history.emptied.append(Emptied(step.where, known, known))
+                self.history.drained_zones.append(DrainedZone(step.where, known, known))
                 return
 
     async def _all_know(self, zone: str) -> bool:
@@ -215,10 +215,11 @@
         return all(s is not None and zone in _texts(s["emptied_zones"]) for s in statuses)
 
     async def _restore(self, zone: str) -> None:
-        """Take a zone back, however often it takes; the promise ends with the first try."""
-        emptied = self.history.emptied
-        if emptied and emptied[-1].zone == zone and emptied[-1].end == emptied[-1].known:
-            emptied[-1] = Emptied(zone, emptied[-1].known, max(emptied[-1].known, self.now))
+        """Restore a zone, in as many tries as it takes; the promise ends with the first try."""
+        drains = self.history.drained_zones
+        if drains and drains[-1].zone == zone and drains[-1].end == drains[-1].known:
+            known = drains[-1].known
+            drains[-1] = DrainedZone(zone, known, max(known, self.now))
 
         async def restore() -> None:
             try:
@@ -234,7 +235,7 @@
         try:
             await command()
         except (CommandFailed, AssertionError, aiohttp.ClientError, TimeoutError) as failed:
-            self._say(f"not done: {str(failed).splitlines()[0][:100]}")
+            self._print(f"not done: {str(failed).splitlines()[0][:100]}")
             return False
         return True
 
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""Callers: send requests to entries and write down what they were told."""
+"""Callers: send requests to entries and record the outcome of each."""
 
 import time
 from dataclasses import dataclass, field
@@ -11,8 +11,8 @@
 from standins.cluster import HOST
 
 
-class Told(Enum):
-    """What a caller was told of a request."""
+class Reported(Enum):
+    """The outcome of a request as its answer reports it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not run"
@@ -20,14 +20,14 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request and what was told of it. `took` in seconds."""
+class Request:
+    """One request and its reported outcome. `took` is in seconds."""
 
     request_id: str
     workspace: str
     service: str
     once: bool
-    told: Told = Told.UNKNOWN
+    reported: Reported = Reported.UNKNOWN
     reason: str = ""
     wrong: str = ""
     took: float = 0.0
@@ -48,9 +48,9 @@
     workspace: str
     credential: str
     rng: Random
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[Request] = field(default_factory=list)
 
-    async def ask(
+    async def send(
         self,
         entry_port: int,
         service: str,
@@ -60,11 +60,11 @@
         key: str = "",
         deadline_ms: int = 5000,
         body: bytes = b"",
-    ) -> Asked:
+    ) -> Request:
         """Send one request and note the outcome."""
         request_id = f"{self.workspace}-{self.rng.getrandbits(64):016x}"
-        asked = Asked(request_id, self.workspace, service, once)
-        self.asked.append(asked)
+        request = Request(request_id, self.workspace, service, once)
+        self.requests.append(request)
         headers = {
             "authorization": f"Bearer {self.credential}",
             "wheatslip-service": service,
@@ -82,25 +82,25 @@
             async with self.session.request(
                 method, url, headers=headers, data=body or None, timeout=timeout
             ) as response:
-                self._note(asked, response, await response.text(), len(body))
+                self._note(request, response, await response.text(), len(body))
         except aiohttp.ClientConnectorError:
-            asked.told, asked.reason = Told.NOT_RUN, "could not connect"
+            request.reported, request.reason = Reported.NOT_RUN, "could not connect"
         except (aiohttp.ClientError, TimeoutError) as error:
-            asked.told, asked.reason = Told.UNKNOWN, type(error).__name__
-        asked.took = time.perf_counter() - started
-        return asked
+            request.reported, request.reason = Reported.UNKNOWN, type(error).__name__
+        request.took = time.perf_counter() - started
+        return request
 
     def _note(
-        self, asked: Asked, response: aiohttp.ClientResponse, text: str, size: int
+        self, request: Request, response: aiohttp.ClientResponse, text: str, size: int
     ) -> None:
         outcome = response.headers.get("wheatslip-outcome", "")
-        word, _, asked.reason = outcome.partition("; ")
+        word, _, request.reason = outcome.partition("; ")
         if word == "not-run":
-            asked.told = Told.NOT_RUN
+            request.reported = Reported.NOT_RUN
         elif word != "answered":
-            asked.told = Told.UNKNOWN
+            request.reported = Reported.UNKNOWN
         else:
-            asked.told = Told.ANSWERED
-            expected = f" {asked.workspace} {asked.request_id} {size}\n"
+            request.reported = Reported.ANSWERED
+            expected = f" {request.workspace} {request.request_id} {size}\n"
             if response.status == 200 and not text.endswith(expected):
-                asked.wrong = text[:200]
+                request.wrong = text[:200]
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -237,8 +237,8 @@
         """Wait until every daemon that runs knows so many instances."""
         await self._wait_all(lambda status: status["members"] == count)
 
-    async def wait_for_emptied(self, *zones: str) -> None:
-        """Wait until every daemon that runs knows that just these zones are emptied."""
+    async def wait_for_drained_zones(self, *zones: str) -> None:
+        """Wait until every daemon that runs reports exactly these zones as drained."""
         await self._wait_all(lambda status: status["emptied_zones"] == sorted(zones))
 
     async def _wait_all(self, is_met: Callable[[dict[str, object]], bool]) -> None:
--- a/standins/operators.py
+++ b/standins/operators.py
@@ -42,12 +42,12 @@
         await self._bundle("sign", path, second)
         await self._bundle("rollout", path, second)
 
-    async def empty_zone(self, zone: str) -> None:
-        """Ask that a zone be emptied; one operator is enough."""
+    async def drain_zone(self, zone: str) -> None:
+        """Drain a zone; one operator is enough."""
         await wheatslip("zone", "drain", zone, "--settings", str(self.settings(OPERATORS[0])))
 
     async def restore_zone(self, zone: str) -> None:
-        """Take a zone back."""
+        """Restore a zone."""
         await wheatslip("zone", "restore", zone, "--settings", str(self.settings(OPERATORS[0])))
 
     async def _bundle(self, command: str, path: Path, operator: str) -> None:
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -1,23 +1,23 @@
-"""Compares what callers were told with what the backend servers ran."""
+"""Compares the outcomes that callers got with what the backend servers ran."""
 
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from standins.backend import Run
-from standins.caller import Asked, Told
+from standins.caller import Reported, Request
 
 
 @dataclass(slots=True)
 class Verdict:
     """The counts of one history, and the promises it breaks."""
 
-    asked: int = 0
+    requests: int = 0
     answered: int = 0
     not_run: int = 0
     unknown: int = 0
     ran_twice: list[str] = field(default_factory=list)
-    ran_though_told_not: list[str] = field(default_factory=list)
+    ran_though_reported_not_run: list[str] = field(default_factory=list)
     not_run_though_answered: list[str] = field(default_factory=list)
     wrong_answers: list[str] = field(default_factory=list)
 
@@ -26,30 +26,30 @@
         """A sentence for each promise that was broken."""
         claims = (
             ("ran twice", self.ran_twice),
-            ("ran though told not run", self.ran_though_told_not),
+            ("ran though told not run", self.ran_though_reported_not_run),
             ("answered but never run", self.not_run_though_answered),
             ("wrong answer", self.wrong_answers),
         )
         return [f"{claim}: {', '.join(found[:5])}" for claim, found in claims if found]
 
 
-def judge(asked: Iterable[Asked], runs: Iterable[Run]) -> Verdict:
+def judge(requests: Iterable[Request], runs: Iterable[Run]) -> Verdict:
     """The verdict on a history of requests and runs."""
     times_run = Counter(run.request_id for run in runs)
     verdict = Verdict()
-    for one in asked:
-        verdict.asked += 1
+    for one in requests:
+        verdict.requests += 1
         times = times_run[one.request_id]
-        match one.told:
-            case Told.ANSWERED:
+        match one.reported:
+            case Reported.ANSWERED:
                 verdict.answered += 1
                 if not times:
                     verdict.not_run_though_answered.append(one.request_id)
-            case Told.NOT_RUN:
+            case Reported.NOT_RUN:
                 verdict.not_run += 1
                 if times:
-                    verdict.ran_though_told_not.append(one.request_id)
-            case Told.UNKNOWN:
+                    verdict.ran_though_reported_not_run.append(one.request_id)
+            case Reported.UNKNOWN:
                 verdict.unknown += 1
         if one.once and times > 1:
             verdict.ran_twice.append(one.request_id)
--- a/test/test_callers.py
+++ b/test/test_callers.py
@@ -3,7 +3,7 @@
 import asyncio
 from random import Random
 
-from standins.caller import Caller, Told
+from standins.caller import Caller, Reported
 from standins.cluster import HOST, caller_session
 from test.helper import run
 
@@ -27,9 +27,9 @@
         port = server.sockets[0].getsockname()[1]
         async with caller_session() as session:
             caller = Caller(session, "alpha", "secret", Random(1))
-            await caller.ask(port, "papers", "view", once=False)
-            lost = await caller.ask(port, "papers", "view", once=False)
+            await caller.send(port, "papers", "view", once=False)
+            lost = await caller.send(port, "papers", "view", once=False)
         assert len(received) == 2
-        assert lost.told is Told.UNKNOWN
+        assert lost.reported is Reported.UNKNOWN
 
     run(scenario)
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -10,7 +10,7 @@
 from wheatslipd.entry.forward import CONNECT_TIMEOUT
 
 from standins.backend import Behaviour
-from standins.caller import Told, make_key
+from standins.caller import Reported, make_key
 from standins.cluster import HOST, eventually
 from standins.platform import Faults
 from standins.verdict import judge
@@ -41,11 +41,11 @@
         entries = [node.entry for node in installation.nodes.values()]
         await asyncio.gather(
             *(
-                caller.ask(entries[i % 2], "papers", "submit", once=True, body=b"a" * i)
+                caller.send(entries[i % 2], "papers", "submit", once=True, body=b"a" * i)
                 for i in range(60)
             )
         )
-        verdict = judge(caller.asked, runs_of(installation))
+        verdict = judge(caller.requests, runs_of(installation))
         assert verdict.answered == 60
         assert not verdict.broken
 
@@ -64,8 +64,8 @@
     async def scenario(installation):
         caller = installation.caller(workspace)
         entry = installation.nodes["papers-1"].entry
-        asked = await caller.ask(entry, service, "submit", once=True)
-        assert (asked.told, asked.reason) == (Told.NOT_RUN, reason)
+        sent = await caller.send(entry, service, "submit", once=True)
+        assert (sent.reported, sent.reason) == (Reported.NOT_RUN, reason)
         assert not runs_of(installation)
 
     two_upstreams(tmp_path, scenario)
@@ -95,12 +95,12 @@
         caller = installation.caller()
         key = make_key(caller.rng, time.time())
         for node in [*installation.nodes.values()] * 2:
-            await caller.ask(node.entry, "papers", "submit", once=True, key=key, body=b"x")
+            await caller.send(node.entry, "papers", "submit", once=True, key=key, body=b"x")
         assert len(runs_of(installation)) == 1
-        assert all(one.told is Told.ANSWERED for one in caller.asked)
+        assert all(one.reported is Reported.ANSWERED for one in caller.requests)
         # The answer that is given again is the first one's, to the letter.
-        first = caller.asked[0].request_id
-        assert all(first in one.wrong for one in caller.asked[1:])
+        first = caller.requests[0].request_id
+        assert all(first in one.wrong for one in caller.requests[1:])
 
     two_upstreams(tmp_path, scenario)
 
@@ -112,12 +112,12 @@
         entries = [node.entry for node in installation.nodes.values()]
         await asyncio.gather(
             *(
-                caller.ask(entries[i % 2], "papers", "submit", once=True, key=key)
+                caller.send(entries[i % 2], "papers", "submit", once=True, key=key)
                 for i in range(20)
             )
         )
         assert len(runs_of(installation)) == 1
-        assert all(one.told is not Told.NOT_RUN for one in caller.asked)
+        assert all(one.reported is not Reported.NOT_RUN for one in caller.requests)
 
     two_upstreams(tmp_path, scenario, service=0.05)
 
@@ -138,11 +138,13 @@
         await asyncio.gather(
             stand_still(),
             *(
-                caller.ask(entries[i % 2], "papers", "submit", once=True, key=key)
+                caller.send(entries[i % 2], "papers", "submit", once=True, key=key)
                 for i in range(20)
             ),
         )
-        assert [(o.told, o.reason) for o in caller.asked if o.told is Told.NOT_RUN] == []
+        assert [
+            (o.reported, o.reason) for o in caller.requests if o.reported is Reported.NOT_RUN
+        ] == []
         assert len(runs_of(installation)) == 1
 
     two_upstreams(tmp_path, scenario, service=0.05)
@@ -153,8 +155,8 @@
         caller = installation.caller()
         key = make_key(caller.rng, time.time() - 500)
         entry = installation.nodes["papers-1"].entry
-        asked = await caller.ask(entry, "papers", "submit", once=True, key=key)
-        assert (asked.told, asked.reason) == (Told.UNKNOWN, "key-too-old")
+        sent = await caller.send(entry, "papers", "submit", once=True, key=key)
+        assert (sent.reported, sent.reason) == (Reported.UNKNOWN, "key-too-old")
         assert not runs_of(installation)
 
     two_upstreams(tmp_path, scenario)
@@ -168,8 +170,8 @@
         caller = installation.caller()
         entry = installation.nodes["papers-1"].entry
         key = make_key(caller.rng, time.time())
-        asked = await caller.ask(entry, "papers", "submit", once=True, key=key)
-        assert (asked.told, asked.reason) == (Told.NOT_RUN, "lease-lapsed")
+        sent = await caller.send(entry, "papers", "submit", once=True, key=key)
+        assert (sent.reported, sent.reason) == (Reported.NOT_RUN, "lease-lapsed")
         assert not runs_of(installation)
 
     two_upstreams(tmp_path, scenario)
@@ -179,8 +181,8 @@
     async def scenario(installation):
         caller = installation.caller()
         entry = installation.nodes["papers-1"].entry
-        asked = await caller.ask(entry, "papers", "submit", once=True, deadline_ms=0)
-        assert (asked.told, asked.reason) == (Told.NOT_RUN, "deadline")
+        sent = await caller.send(entry, "papers", "submit", once=True, deadline_ms=0)
+        assert (sent.reported, sent.reason) == (Reported.NOT_RUN, "deadline")
         assert not runs_of(installation)
 
     two_upstreams(tmp_path, scenario)
@@ -190,8 +192,8 @@
     async def scenario(installation):
         caller = installation.caller()
         entry = installation.nodes["papers-1"].entry
-        asked = await caller.ask(entry, "papers", "submit", once=True, deadline_ms=150)
-        assert (asked.told, asked.reason) == (Told.UNKNOWN, "deadline")
+        sent = await caller.send(entry, "papers", "submit", once=True, deadline_ms=150)
+        assert (sent.reported, sent.reason) == (Reported.UNKNOWN, "deadline")
         assert len(runs_of(installation)) == 1
 
     two_upstreams(tmp_path, scenario, service=2.0, sigma=0.0)
@@ -203,8 +205,8 @@
         await installation.nodes["papers-2"].daemon.peer_server.stop(0.0)
         entry = installation.nodes["papers-1"].entry
         for _ in range(10):
-            await caller.ask(entry, "papers", "submit", once=True)
-        assert all(one.told is Told.ANSWERED for one in caller.asked)
+            await caller.send(entry, "papers", "submit", once=True)
+        assert all(one.reported is Reported.ANSWERED for one in caller.requests)
 
     two_upstreams(tmp_path, scenario)
 
@@ -215,7 +217,7 @@
         entry = installation.nodes["papers-1"].entry
         leaving = installation.nodes["papers-2"]
         in_flight = [
-            asyncio.create_task(caller.ask(entry, "papers", "submit", once=True))
+            asyncio.create_task(caller.send(entry, "papers", "submit", once=True))
             for _ in range(6)
         ]
         await eventually(lambda: _busy(leaving))
@@ -225,10 +227,10 @@
         await asyncio.gather(*in_flight)
         # Its own entry still forwards: the callers there have nowhere else to go yet.
         for node in (installation.nodes["papers-1"], leaving):
-            await caller.ask(node.entry, "papers", "submit", once=True)
-        assert all(one.told is Told.ANSWERED for one in caller.asked)
+            await caller.send(node.entry, "papers", "submit", once=True)
+        assert all(one.reported is Reported.ANSWERED for one in caller.requests)
         assert len(leaving.backend._record().runs) == started
-        assert not judge(caller.asked, runs_of(installation)).broken
+        assert not judge(caller.requests, runs_of(installation)).broken
 
     two_upstreams(tmp_path, scenario, service=0.2, sigma=0.0)
 
@@ -245,13 +247,13 @@
     async def scenario(installation):
         caller = installation.caller()
         stopping = installation.nodes["papers-2"]
-        asked = [
-            asyncio.create_task(caller.ask(stopping.entry, "papers", "submit", once=True))
+        sent = [
+            asyncio.create_task(caller.send(stopping.entry, "papers", "submit", once=True))
             for _ in range(4)
         ]
         await eventually(lambda: _busy(stopping))
         stopping.daemon.stop()
-        assert all(one.told is Told.ANSWERED for one in await asyncio.gather(*asked))
+        assert all(one.reported is Reported.ANSWERED for one in await asyncio.gather(*sent))
         assert await stopping.task == 0
 
     two_upstreams(tmp_path, scenario, service=0.3, sigma=0.0)
@@ -263,8 +265,8 @@
         installation.platform.faults = Faults(down=True)
         entry = installation.nodes["papers-1"].entry
         for _ in range(5):
-            await caller.ask(entry, "papers", "submit", once=True)
-        assert all(one.told is Told.ANSWERED for one in caller.asked)
+            await caller.send(entry, "papers", "submit", once=True)
+        assert all(one.reported is Reported.ANSWERED for one in caller.requests)
         installation.platform.faults = Faults()
         await installation.release(bundle(version=2))
         await installation.ready(version=2)
@@ -277,12 +279,12 @@
         async with Installation(tmp_path) as installation:
             node = await installation.add("papers-1")
             caller = installation.caller()
-            asked = await caller.ask(node.entry, "papers", "submit", once=True)
-            assert (asked.told, asked.reason) == (Told.NOT_RUN, "no-configuration")
+            sent = await caller.send(node.entry, "papers", "submit", once=True)
+            assert (sent.reported, sent.reason) == (Reported.NOT_RUN, "no-configuration")
             await installation.release(bundle())
             await installation.ready()
-            asked = await caller.ask(node.entry, "papers", "submit", once=True)
-            assert asked.told is Told.ANSWERED
+            sent = await caller.send(node.entry, "papers", "submit", once=True)
+            assert sent.reported is Reported.ANSWERED
 
     run(main)
 
@@ -313,8 +315,8 @@
         older.daemon.feed.cache.bundle = bundle()
         caller = installation.caller()
         while not older.backend._record().runs:
-            asked = await caller.ask(newer.entry, "papers", "submit", once=True)
-            assert asked.told is Told.ANSWERED
+            sent = await caller.send(newer.entry, "papers", "submit", once=True)
+            assert sent.reported is Reported.ANSWERED
         assert older.daemon.status().version == 2
 
     two_upstreams(tmp_path, scenario)
--- a/test/test_processes.py
+++ b/test/test_processes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from standins.backend import Behaviour
-from standins.caller import Caller, Told, make_key
+from standins.caller import Caller, Reported, make_key
 from standins.cluster import Cluster, Plan, eventually
 from standins.operators import Desk
 from standins.platform import Faults
@@ -59,10 +59,10 @@
     assert subprocess.run([sys.executable, "-c", check]).returncode == 0
 
 
-async def ask_many(cluster, caller, count, entry="papers-1"):
+async def send_many(cluster, caller, count, entry="papers-1"):
     port = cluster.members[entry].instance.entry_port
     for _ in range(count):
-        await caller.ask(port, "papers", "submit", once=True, deadline_ms=3000)
+        await caller.send(port, "papers", "submit", once=True, deadline_ms=3000)
 
 
 async def runs_of(cluster, names):
@@ -76,13 +76,13 @@
 def test_a_killed_daemon_is_left_at_once_and_nothing_runs_twice(cluster):
     async def scenario(cluster):
         caller = caller_of(cluster)
-        asking = [asyncio.create_task(ask_many(cluster, caller, 25)) for _ in range(4)]
-        await eventually(lambda: _asked(caller, 20))
+        sending = [asyncio.create_task(send_many(cluster, caller, 25)) for _ in range(4)]
+        await eventually(lambda: _has_sent(caller, 20))
         cluster.members["papers-2"].daemon.send(signal.SIGKILL)
-        await asyncio.gather(*asking)
-        verdict = judge(caller.asked, await runs_of(cluster, cluster.members))
+        await asyncio.gather(*sending)
+        verdict = judge(caller.requests, await runs_of(cluster, cluster.members))
         assert not verdict.broken
-        assert verdict.asked == 100
+        assert verdict.requests == 100
         # Only what was under way at the killed one may be unknown: it has four slots.
         assert verdict.unknown <= 4
         assert verdict.answered >= 96
@@ -90,8 +90,8 @@
     cluster(scenario)
 
 
-async def _asked(caller, count):
-    return len(caller.asked) >= count
+async def _has_sent(caller, count):
+    return len(caller.requests) >= count
 
 
 def test_a_frozen_daemon_does_nothing_on_old_authority_when_it_thaws(cluster):
@@ -101,13 +101,13 @@
         frozen.daemon.send(signal.SIGSTOP)
         await cluster.unlist(frozen)
         await cluster.members["papers-1"].daemon.wait_for(_MEMBERS)
-        await asyncio.gather(*(ask_many(cluster, caller, 10) for _ in range(3)))
+        await asyncio.gather(*(send_many(cluster, caller, 10) for _ in range(3)))
         frozen.daemon.send(signal.SIGCONT)
         await eventually(lambda: _members_seen(cluster, "papers-2"))
-        await ask_many(cluster, caller, 10)
-        verdict = judge(caller.asked, await runs_of(cluster, cluster.members))
+        await send_many(cluster, caller, 10)
+        verdict = judge(caller.requests, await runs_of(cluster, cluster.members))
         assert not verdict.broken
-        assert all(one.told is Told.ANSWERED for one in caller.asked[-10:])
+        assert all(one.reported is Reported.ANSWERED for one in caller.requests[-10:])
 
     cluster(scenario)
 
@@ -121,17 +121,17 @@
         caller = caller_of(cluster)
         await cluster.set_behaviour("papers-2", Behaviour(slots=4, service=0.5, sigma=0.0))
         port = cluster.members["papers-2"].instance.entry_port
-        asking = [
-            asyncio.create_task(caller.ask(port, "papers", "submit", once=True))
+        sending = [
+            asyncio.create_task(caller.send(port, "papers", "submit", once=True))
             for _ in range(9)
         ]
         await eventually(lambda: _busy(cluster, "papers-2"))
         stopping = cluster.members["papers-2"].daemon
         stopping.send(signal.SIGTERM)
-        told = await asyncio.gather(*asking)
-        assert [one.told for one in told] == [Told.ANSWERED] * 9
+        found = await asyncio.gather(*sending)
+        assert [one.reported for one in found] == [Reported.ANSWERED] * 9
         assert await stopping.process.wait() == 0
-        verdict = judge(caller.asked, await runs_of(cluster, cluster.members))
+        verdict = judge(caller.requests, await runs_of(cluster, cluster.members))
         assert not verdict.broken
 
     cluster(scenario)
@@ -154,7 +154,7 @@
         daemon.send(signal.SIGHUP)
         await daemon.wait_for(re.compile("event=settings-need-restart names=zone"))
         await daemon.wait_for(re.compile("event=settings-reloaded"))
-        await ask_many(cluster, caller_of(cluster), 1)
+        await send_many(cluster, caller_of(cluster), 1)
 
     cluster(scenario)
 
@@ -168,7 +168,7 @@
         keys = [make_key(caller.rng, time.time()) for _ in range(8)]
         warm_up = len(await runs_of(cluster, cluster.members))
         for key in keys:
-            await caller.ask(port, "papers", "submit", once=True, key=key)
+            await caller.send(port, "papers", "submit", once=True, key=key)
         killed = cluster.members["papers-2"]
         earlier = await runs_of(cluster, cluster.members)
         assert len(earlier) == warm_up + len(keys)
@@ -176,7 +176,7 @@
         await cluster.unlist(killed)
         await cluster.members["papers-1"].daemon.wait_for(_MEMBERS)
         for key in keys:
-            await caller.ask(port, "papers", "submit", once=True, key=key)
+            await caller.send(port, "papers", "submit", once=True, key=key)
         runs = await runs_of(cluster, cluster.members)
         times = [sum(run.key == key for run in runs) for key in keys]
         assert max(times) <= 1
@@ -186,13 +186,13 @@
 
 
 async def _all_keys_answered(caller, port, count):
-    told = [
-        await caller.ask(
+    found = [
+        await caller.send(
             port, "papers", "submit", once=True, key=make_key(caller.rng, time.time())
         )
         for _ in range(count)
     ]
-    return all(one.told is Told.ANSWERED for one in told)
+    return all(one.reported is Reported.ANSWERED for one in found)
 
 
 def test_a_zone_rides_out_a_slow_platform_that_loses_answers(cluster):
@@ -203,10 +203,10 @@
         desk = Desk(cluster.folder)
         await asyncio.gather(
             desk.release(2, BUNDLE.replace("version = 1", "version = 2")),
-            ask_many(cluster, caller, 20),
+            send_many(cluster, caller, 20),
         )
         await cluster.wait_for_version(2)
-        verdict = judge(caller.asked, await runs_of(cluster, cluster.members))
+        verdict = judge(caller.requests, await runs_of(cluster, cluster.members))
         assert verdict.answered == 20
         assert not verdict.broken
 
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -258,8 +258,8 @@
             installation.platform.faults = Faults(down=True)
             node = next(iter(installation.nodes.values()))
             calls = installation.platform.calls["read"]
-            asked = await installation.caller().ask(node.entry, "papers", "submit", once=True)
-            assert asked.reason == ""
+            sent = await installation.caller().send(node.entry, "papers", "submit", once=True)
+            assert sent.reason == ""
             assert installation.platform.calls["read"] == calls
             installation.platform.faults = Faults()
             await installation.release(bundle(version=2))
@@ -297,8 +297,8 @@
             await eventually(knows_the_new_ports)
             await installation.ready(2)
             entry = installation.nodes[second].entry
-            asked = await installation.caller().ask(entry, "papers", "view", once=False)
-            assert asked.reason == ""
+            sent = await installation.caller().send(entry, "papers", "view", once=False)
+            assert sent.reason == ""
 
     run(main)
 
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -6,17 +6,17 @@
 
 from soak.__main__ import make_plans, soak
 from soak.course import FIRST, LAST, Fault, beside_other_version, draw
-from soak.history import Emptied, History, Ran, Seen, Stopped, broken_promises
+from soak.history import DrainedZone, History, Observation, Ran, Stopped, broken_promises
 from standins.backend import Run
-from standins.caller import Asked, Told
+from standins.caller import Reported, Request
 from standins.cluster import python_path
 
 INSTANCES = ("a", "b", "c", "d")
 ZONES = ("one", "two")
 
 
-def asked(request_id="r", told=Told.ANSWERED, once=True, wrong=""):
-    return Asked(request_id, "alpha", "papers", once, told, wrong=wrong)
+def request(request_id="r", reported=Reported.ANSWERED, once=True, wrong=""):
+    return Request(request_id, "alpha", "papers", once, reported, wrong=wrong)
 
 
 def ran(request_id="r", zone="one", at=1.0):
@@ -59,7 +59,7 @@
         assert len({plan.checkout for plan in plans if plan.zone == zone}) == 2
     steps, updates = beside_other_version(others, own, ZONES)
     where = {fault: {step.where for step in steps if step.fault is fault} for fault in Fault}
-    assert where[Fault.STOP] == {*others, *own} and where[Fault.EMPTY_ZONE] == set(ZONES)
+    assert where[Fault.STOP] == {*others, *own} and where[Fault.ZONE_DRAIN] == set(ZONES)
     assert where[Fault.DRAIN] & set(others) and where[Fault.DRAIN] & set(own)
     assert where[Fault.ROLLOUT]
     assert [step.where for step in updates if step.fault is Fault.STOP] == others
@@ -72,28 +72,34 @@
 
 def test_a_good_history_breaks_nothing():
     history = History(
-        asked=[asked("r"), asked("s", Told.NOT_RUN)],
+        requests=[request("r"), request("s", Reported.NOT_RUN)],
         ran=[ran("r")],
-        seen=[Seen(1.0, "a", 0, 1), Seen(2.0, "a", 0, 2), Seen(3.0, "a", 1, 1)],
-        emptied=[Emptied("one", 2.0, 3.0)],
+        observations=[
+            Observation(1.0, "a", 0, 1),
+            Observation(2.0, "a", 0, 2),
+            Observation(3.0, "a", 1, 1),
+        ],
+        drained_zones=[DrainedZone("one", 2.0, 3.0)],
         stopped=[Stopped("a", 0)],
         last_answered=3,
-        last_asked=3,
+        last_sent=3,
     )
     assert broken_promises(history) == []
 
 
 FORGED = {
-    "ran twice": History(asked=[asked()], ran=[ran(), ran()]),
-    "ran though told not": History(asked=[asked(told=Told.NOT_RUN)], ran=[ran()]),
-    "answered but never run": History(asked=[asked()]),
-    "wrong answer": History(asked=[asked(wrong="another's")], ran=[ran()]),
-    "went back from version": History(seen=[Seen(1.0, "a", 0, 2), Seen(2.0, "a", 0, 1)]),
+    "ran twice": History(requests=[request()], ran=[ran(), ran()]),
+    "ran though told not": History(requests=[request(reported=Reported.NOT_RUN)], ran=[ran()]),
+    "answered but never run": History(requests=[request()]),
+    "wrong answer": History(requests=[request(wrong="another's")], ran=[ran()]),
+    "went back from version": History(
+        observations=[Observation(1.0, "a", 0, 2), Observation(2.0, "a", 0, 1)]
+    ),
     "emptied since": History(
-        asked=[asked()], ran=[ran(at=2.5)], emptied=[Emptied("one", 2.0, 3.0)]
+        requests=[request()], ran=[ran(at=2.5)], drained_zones=[DrainedZone("one", 2.0, 3.0)]
     ),
     "after a planned stop": History(stopped=[Stopped("a", 1)]),
-    "in the calm end": History(last_answered=2, last_asked=3),
+    "in the calm end": History(last_answered=2, last_sent=3),
 }
 
 
@@ -107,4 +113,6 @@
 def test_a_short_soak_breaks_no_promise(seed, tmp_path):
     history = asyncio.run(soak(tmp_path, seed, 20.0))
     assert broken_promises(history) == []
-    assert history.last_asked and any(one.told is Told.ANSWERED for one in history.asked)
+    assert history.last_sent and any(
+        one.reported is Reported.ANSWERED for one in history.requests
+    )
--- a/test/test_zone_commands.py
+++ b/test/test_zone_commands.py
@@ -11,7 +11,7 @@
 from wheatslip_cli.output import ExitCode, Format
 from wheatslip_cli.zone_commands import DrainZone, ListZones, RestoreZone
 
-from standins.caller import Told, make_key
+from standins.caller import Reported, make_key
 from standins.cluster import eventually
 from test.helper import OPERATORS, Installation, bundle, run
 
@@ -112,18 +112,18 @@
 
             async def send_all():
                 return [
-                    await caller.ask(entry, "papers", "submit", once=True, key=key)
+                    await caller.send(entry, "papers", "submit", once=True, key=key)
                     for key in keys
                 ]
 
             first = await send_all()
-            assert {one.told for one in first} == {Told.ANSWERED}
+            assert {one.reported for one in first} == {Reported.ANSWERED}
             key = load_private_key(tmp_path / f"{OPERATORS[0]}.key")
             drain = sign_drain(ZoneDrain("two", OPERATORS[0], 5.0), key)
             (await ZoneDrainRequests(installation.client).drain(drain)).unwrap()
             await knows(installation, "two")
             again = await send_all()
-            assert {one.told for one in again} <= {Told.ANSWERED, Told.NOT_RUN}
+            assert {one.reported for one in again} <= {Reported.ANSWERED, Reported.NOT_RUN}
             runs = Counter(
                 run.key for node in installation.nodes.values() for run in runs_of(node)
             )
