--- a/packages/wheatslipd/wheatslipd/controllers/bus.py
+++ b/packages/wheatslipd/wheatslipd/controllers/bus.py
@@ -1,7 +1,7 @@
 """The bus: circuits' event queue, flushed from asyncio's loop.
 
 circuits' own loop would poll beside asyncio's. Here nothing runs while no event waits: firing
-one schedules a flush, and a handler's events are flushed in the same turn.
+an event schedules a flush, and events that handlers fire are flushed in the same turn.
 """
 
 import asyncio
@@ -21,6 +21,7 @@
         super().__init__()
         self._loop: asyncio.AbstractEventLoop | None = None
         self._scheduled = False
+        # Done once a handler has failed, with its error; None before `attach`.
         self.failed: asyncio.Future[str] | None = None
 
     def attach(self) -> None:
@@ -36,9 +37,9 @@
     def _schedule(self) -> None:
         if self._loop is not None and not self._scheduled:
             self._scheduled = True
-            self._loop.call_soon(self._drain)
+            self._loop.call_soon(self._flush_all)
 
-    def _drain(self) -> None:
+    def _flush_all(self) -> None:
         self._scheduled = False
         while len(self):
             self.flush()
@@ -47,7 +48,7 @@
     def _on_exception(
         self, error_type: type, value: BaseException, traceback: list[str], **rest: Any
     ) -> None:
-        """A controller broke an invariant: the process must stop."""
+        """A handler raised: its controller may be half changed, so the process must stop."""
         logs.error("controller-failed", error=repr(value), trace="".join(traceback))
         if self.failed is not None and not self.failed.done():
             self.failed.set_result(repr(value))
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -1,8 +1,9 @@
 """Controller of the members: the platform's list, turned into peers by pool.
 
-An entry may lapse while the platform is in trouble, though its backend server lives; its daemon
-writes it again within moments. So one that vanishes without having said that it leaves is kept
-for a while, and taken as gone only if it is still missing then.
+An entry may lapse while the platform is in trouble, although its backend server lives; its
+daemon writes it again within moments. So a peer whose entry vanishes is kept for `LAPSE_GRACE`,
+and removed if the entry is still missing then. One that was leaving or unreachable is removed
+at once.
 """
 
 import asyncio
@@ -21,8 +22,9 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-PEER_CONNECTIONS = 256  # to one peer
-# Seconds in which a daemon that lives has written a lapsed entry again; the users' bound.
+PEER_CONNECTIONS = 256  # to one peer, at most; chosen, not measured
+# Seconds within which a daemon that lives writes a lapsed entry again: the users' platform asks
+# for that.
 LAPSE_GRACE = 2.0
 
 
@@ -62,7 +64,7 @@
         self._publish()
 
     def _miss(self, name: str) -> None:
-        """An entry is gone. One that was leaving or out of reach is so for good."""
+        """An entry vanished: remove its peer, at once or after the grace."""
         peer = self._peers.get(name)
         if peer is None or name in self._missing:
             return
@@ -102,9 +104,9 @@
             self._take_own(instance, is_leaving)
 
     def _take_own(self, instance: Instance, is_leaving: bool) -> None:
-        """The list says of this daemon that it leaves, or that it is back.
+        """Follow the list where it marks this daemon as leaving, or as started anew.
 
-        The list lags: what it says first may be of the start before, under the same name.
+        The list lags: its first entry may be that of the start before, under the same name.
         """
         if is_leaving:
             self._left = instance.incarnation
@@ -114,7 +116,7 @@
             self.fire(returned())
 
     def _new_peer(self, instance: Instance) -> Peer:
-        # Who stands in the first list was here before us and is warm, as far as we know.
+        # A peer of the first list was here before this daemon, and counts as warmed up.
         joined = self._monotonic() if self._has_list else 0.0
         upstream = Upstream(instance.name, instance.zone, joined=joined)
         connections = ConnectionPool(
--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -33,7 +33,6 @@
         self.services: dict[str, Service] = {s.name: s for s in bundle.services}
         self.pools: dict[str, Pool] = {p.name: p for p in bundle.pools}
         self.routes = RouteTable(bundle.routes)
-        self.shares = {w.name: w.share for w in bundle.workspaces}
         self._by_credential = {w.credential_sha256: w for w in bundle.workspaces}
 
     def workspace_of(self, credential_sha256: str) -> Workspace | None:
@@ -56,12 +55,13 @@
 class View:
     """The present state, as the request path sees it.
 
-    `drains` are the emptied zones; None: not known yet, so nothing may be sent. `known` is set
-    once there are a configuration, the emptied zones and a list; at the start these are
-    expected until `expected_until` (seconds, monotonic).
+    `drains` are the zone drains; None: not known yet, so nothing may be sent. `known` is set
+    once there are a configuration, the zone drains and a list of instances. At the start,
+    requests wait for these until `expected_until` (seconds, monotonic).
 
     `draining`: the backend server here takes no new work; the entry still forwards callers'
-    requests to others. `stopping`: callers are to go elsewhere. `closed`: they have to.
+    requests to others. `stopping`: the health page and a "connection: close" on each answer
+    ask callers to go elsewhere. `closed`: no request is taken any more.
     """
 
     configuration: Configuration | None = None
@@ -74,12 +74,12 @@
     known: asyncio.Event = field(default_factory=asyncio.Event)
 
     def note_known(self) -> None:
-        """Something has become known: perhaps it was the last that requests need."""
+        """Set `known` if nothing is missing any more. To be called after each change."""
         if self.configuration is not None and self.drains is not None and self.membership.pools:
             self.known.set()
 
     def peers(self, pool: str) -> tuple[Peer, ...]:
-        """The peers of a pool to which requests may go: those in emptied zones are left out."""
+        """The peers of a pool to which requests may go: those of drained zones are left out."""
         peers = self.membership.peers(pool)
         if self.drains is None or not self.drains.drains:
             return peers
--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -1,10 +1,10 @@
-"""Controller of the emptied zones: entries send nothing there, and the own gate closes itself.
+"""Controller of the zone drains: entries send nothing to a drained zone, and its gates close.
 
-The gate is the only way to its server, so no entry that has not heard of it breaks the promise.
-After a zone is restored its servers may have turned cold meanwhile: the gate asks its own.
+A gate is the only way to its server, so nothing new gets there even from an entry that does not
+know of the drain yet. While a zone was drained its servers may have turned cold, so after it is
+restored the gate has its server asked.
 """
 
-import time
 from collections.abc import Callable
 
 from circuits import Component
@@ -17,7 +17,7 @@
 
 
 class ZoneController(Component):
-    """Owns which zones are emptied, as far as this daemon knows."""
+    """Owns the set of drained zones, as far as this daemon knows it."""
 
     channel = "*"
 
@@ -27,7 +27,7 @@
         zone: str,
         gate: Gate,
         metrics: Metrics,
-        unix: Callable[[], float] = time.time,
+        unix: Callable[[], float],
     ):
         super().__init__()
         self._view = view
@@ -37,7 +37,7 @@
         self._unix = unix
 
     def zones_drained(self, drains: ZoneDrains) -> None:
-        """Take over the set of emptied zones."""
+        """Take over a set of zone drains that is not older than the present one."""
         before = self._view.drains
         known = before.zones if before is not None else frozenset()
         if before is not None and drains.version < before.version:
@@ -45,13 +45,7 @@
             return
         self._view.drains = drains
         self._view.note_known()
-        for drain in drains.drains:
-            if drain.zone not in known:
-                age = round(self._unix() - drain.since, 1) if drain.since else None
-                asked_by = drain.asked_by or "-"
-                logs.info("zone-emptied", zone=drain.zone, asked_by=asked_by, age=age)
-        for zone in sorted(known - drains.zones):
-            logs.info("zone-restored", zone=zone, version=drains.version)
+        self._log_changes(known, drains)
         self._metrics.zones_drained.set({}, len(drains.drains))
         if self._zone in drains.zones:
             self._gate.zone_drained()
@@ -59,3 +53,12 @@
             self._gate.zone_not_drained()
         elif self._zone in known:
             self._gate.zone_restored()
+
+    def _log_changes(self, known: frozenset[str], drains: ZoneDrains) -> None:
+        for drain in drains.drains:
+            if drain.zone not in known:
+                age = round(self._unix() - drain.since, 1) if drain.since else None
+                asked_by = drain.asked_by or "-"
+                logs.info("zone-emptied", zone=drain.zone, asked_by=asked_by, age=age)
+        for zone in sorted(known - drains.zones):
+            logs.info("zone-restored", zone=zone, version=drains.version)
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -16,7 +16,7 @@
 
 from wheatslipd.controllers.bundles import BundleController
 from wheatslipd.controllers.bus import Bus
-from wheatslipd.controllers.events import leaving, newer_version_seen
+from wheatslipd.controllers.events import leaving
 from wheatslipd.controllers.lifecycle import Lifecycle
 from wheatslipd.controllers.membership import MembershipController
 from wheatslipd.controllers.view import View
@@ -94,36 +94,13 @@
         )
         # A request's way: the entry of one daemon, then the server side of another or this one.
         cache = self.feed.cache
-        entry = build_entry(
-            settings,
-            shared,
-            self._chooser,
-            self._tracer,
-            members=lambda: len(cache.instances),
-            on_newer_version=self._hint_newer_version,
-        )
-        self.server_side = build_server_side(
-            settings,
-            shared,
-            self._tracer,
-            owners,
-            list_checked=lambda: cache.checked,
-            on_newer_version=self._hint_newer_version,
-        )
+        entry = build_entry(settings, shared, self._chooser, self._tracer, cache)
         self.entry_server = Server(entry.handle)
+        self.server_side = build_server_side(settings, shared, self._tracer, owners, cache)
         self.peer_server = Server(self.server_side.peer_port.handle, tls.server)
         # The backend server's registration, where the platform does not list instances.
-        self.own_server: OwnServer | None = None
-        if settings.lists_itself:
-            self.own_server = OwnServer(
-                settings,
-                shared,
-                self.server_side,
-                self.feed,
-                store,
-                adapters.decode_heartbeat,
-                self._ports,
-            )
+        self.own_server = self._own_server(store, adapters) if settings.lists_itself else None
+        # What happens is fired on the bus, and these act on it.
         self._register(
             BundleController(self.view, metrics),
             MembershipController(settings, shared, owners, tls),
@@ -195,6 +172,17 @@
         """The state for the status page."""
         return self._report.status()
 
+    def _own_server(self, store: ObjectStore, adapters: Adapters) -> OwnServer:
+        return OwnServer(
+            self.settings,
+            self._shared,
+            self.server_side,
+            self.feed,
+            store,
+            adapters.decode_heartbeat,
+            self._ports,
+        )
+
     def _register(self, *controllers: Component) -> None:
         for controller in controllers:
             controller.register(self.bus)
@@ -202,9 +190,6 @@
     def _ports(self) -> ListedPorts:
         return ListedPorts(self.entry_server.port, self.peer_server.port, self.feed.relay.port)
 
-    def _hint_newer_version(self, version: int, address: str) -> None:
-        self.bus.fire(newer_version_seen(version, address))
-
     async def _listen(self) -> None:
         """Listen for requests, other daemons and heartbeats. Raises OSError."""
         settings = self.settings
--- a/packages/wheatslipd/wheatslipd/entry/wiring.py
+++ b/packages/wheatslipd/wheatslipd/entry/wiring.py
@@ -1,9 +1,8 @@
 """The entry of one daemon with its filter chain, built from the settings."""
 
-from collections.abc import Callable
-
 from wheatslip.budget import RetryBudgets
 from wheatslip.chooser import Chooser
+from wheatslip.distribution.feedcache import FeedCache
 
 from wheatslipd.chain import build_chain
 from wheatslipd.entry.entry import Entry
@@ -16,14 +15,9 @@
 
 
 def build_entry(
-    settings: Settings,
-    shared: Shared,
-    chooser: Chooser,
-    tracer: HopTracer,
-    members: Callable[[], int],
-    on_newer_version: Callable[[int, str], None],
+    settings: Settings, shared: Shared, chooser: Chooser, tracer: HopTracer, cache: FeedCache
 ) -> Entry:
-    """Build the entry. For `members` see `RetryBudgets`."""
+    """Build the entry. The number of listed instances bounds its repeated sends."""
     by_routes = settings.interface is Interface.ROUTES
     clock = shared.monotonic
     forward_settings = ForwardSettings(
@@ -33,14 +27,18 @@
         settings.answer_hold,
         by_routes,
     )
-    budgets = RetryBudgets(fleet=settings.fleet_budget, members=members, started=clock())
+    budgets = RetryBudgets(
+        fleet=settings.fleet_budget,
+        members=lambda: len(cache.instances),
+        started=clock(),
+    )
     forwarder = Forwarder(
         forward_settings,
         Decisions(chooser, budgets),
         shared.view,
         shared.metrics,
         clock,
-        on_newer_version,
+        shared.hint_newer_version,
     )
     filters = common_filters(shared.view, shared.metrics, tracer, clock)
     if by_routes:
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -1,9 +1,9 @@
 """The parts between the peer port and the backend server, in the order of a request's way."""
 
-from collections.abc import Callable
 from dataclasses import dataclass
 
 from wheatslip.admission import Admission, AdmissionSettings, ClosedBy
+from wheatslip.distribution.feedcache import FeedCache
 from wheatslip.ledger import KeyLedger
 from wheatslip.owners import OwnerHistory
 from wheatslip.slidinglimit import SlidingLimit
@@ -38,10 +38,9 @@
     shared: Shared,
     tracer: HopTracer,
     owners: OwnerHistory,
-    list_checked: Callable[[], float],
-    on_newer_version: Callable[[int, str], None],
+    cache: FeedCache,
 ) -> ServerSide:
-    """Build the parts; nothing runs yet. For `list_checked` see `KeyGuard`."""
+    """Build the parts; nothing runs yet. `cache` tells when the list was last checked."""
     backend = Backend(
         settings.backend_address,
         settings.backend_port,
@@ -57,7 +56,7 @@
     )
     gate = _gate(settings, shared, speed_check)
     ledger = KeyLedger(watching_since=shared.unix())
-    keys = KeyGuard(settings.name, ledger, owners, shared.unix, list_checked)
+    keys = KeyGuard(settings.name, ledger, owners, shared.unix, lambda: cache.checked)
     peer_port = PeerPort(
         shared.view,
         BackendWay(keys, gate, backend),
@@ -65,7 +64,7 @@
         shared.metrics,
         tracer,
         shared.monotonic,
-        on_newer_version,
+        shared.hint_newer_version,
     )
     measurer = _measurer(settings, shared, gate, backend)
     return ServerSide(peer_port, keys, gate, speed_check, backend, measurer)
--- a/packages/wheatslipd/wheatslipd/shared.py
+++ b/packages/wheatslipd/wheatslipd/shared.py
@@ -5,6 +5,7 @@
 from random import Random
 
 from wheatslipd.controllers.bus import Bus
+from wheatslipd.controllers.events import newer_version_seen
 from wheatslipd.controllers.view import View
 from wheatslipd.telemetry.metrics import Metrics
 
@@ -22,3 +23,7 @@
     rng: Random
     monotonic: Callable[[], float]
     unix: Callable[[], float]
+
+    def hint_newer_version(self, version: int, address: str) -> None:
+        """The daemon at `address` (an IP number) has this newer version of the bundle."""
+        self.bus.fire(newer_version_seen(version, address))
