--- a/packages/wheatslip/wheatslip/config/releases.py
+++ b/packages/wheatslip/wheatslip/config/releases.py
@@ -1,7 +1,7 @@
 """What operators do with bundles at the platform: propose, sign off, roll out.
 
-All by conditional updates, so that of two operators who push at the same moment one wins
-and the other is told what beat it.
+All by conditional updates: of two operators who roll out at the same moment one succeeds, and
+the other gets the version that did (`Beaten`).
 """
 
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 from wheatslip.store.objectclient import ObjectClient
 from wheatslip.store.objects import Conflict, StoredObject, Unavailable
 
-SIGN_TRIES = 5
+SIGN_TRIES = 5  # of adding a signature while others add theirs; chosen, not measured
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/wheatslip/wheatslip/config/zonedrains.py
+++ b/packages/wheatslip/wheatslip/config/zonedrains.py
@@ -1,8 +1,8 @@
-"""Availability zones that operators have emptied: nothing new may reach their backend servers.
+"""Zone drains: availability zones to whose backend servers nothing new may be sent.
 
 Each is an object of its own at the platform, beside the configuration, so that one operator can
-empty a zone at once. The set of them travels whole, with the platform's version at which it
-held; a newer version replaces an older one. Pure code.
+drain a zone at once. Daemons pass the whole set on, with the platform's version at which it was
+read; a newer set replaces an older one. Pure code.
 """
 
 from collections.abc import Iterable
@@ -14,8 +14,8 @@
 
 
 class ZoneDrain(msgspec.Struct, frozen=True):
-    """One emptied zone: who asked for it and when (unix seconds), as far as that was written
-    down, and that operator's signature in hex.
+    """One drained zone: the operator who asked for it and when (unix seconds; 0: not stated),
+    and that operator's signature in hex.
     """
 
     zone: str
@@ -39,14 +39,14 @@
 
 
 class ZoneDrains(msgspec.Struct, frozen=True):
-    """All emptied zones at a version of the platform."""
+    """All zone drains at a version of the platform."""
 
     version: int
     drains: tuple[ZoneDrain, ...] = ()
 
     @property
     def zones(self) -> frozenset[str]:
-        """Their names."""
+        """The names of the drained zones."""
         return frozenset(drain.zone for drain in self.drains)
 
 
@@ -66,11 +66,11 @@
     *,
     whole: bool,
 ) -> ZoneDrains | None:
-    """What the platform's answer at `version` makes of what is known; None if it is older.
+    """The drains after an answer of the platform, read at `version`; None if that is older.
 
     `changes` names each zone, with None for one that was restored, in the order in which they
-    happened. An answer may begin before `known`: all of it is taken again, which ends in the
-    same state. `whole`: it names all emptied zones there are.
+    happened. An answer may repeat changes that `known` holds already: applying them again ends
+    in the same state. `whole`: it names all drains there are.
     """
     if known is not None and version < known.version:
         return None
--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -1,11 +1,11 @@
-"""What a daemon knows of the backend server beside it, from the server's own heartbeats.
+"""Which backend server stands beside a daemon, by the server's own heartbeats.
 
-Pure: heartbeats, goodbyes and answers of the health endpoint come in, late and out of order
-as they may be; out comes whether the server may get new work. Each start of a server has an
-id of its own. One that has said it leaves never gets new work again.
+Pure: it takes heartbeats, goodbyes and answers of the health endpoint, late and in any order,
+and decides whether the server may get new work. Each start of a server has an id of its own. A
+server that has reported that it leaves never gets new work again.
 
-A heartbeat with a new id may come from a server that has just taken the place of the present
-one, or late from one that crashed before it. The health endpoint tells who is there.
+A heartbeat with a new id may come from a server that has just replaced the present one, or late
+from one that crashed before it. The id in the health endpoint's answer decides.
 """
 
 from collections import OrderedDict
@@ -14,10 +14,11 @@
 
 import msgspec
 
-MAX_RETIRED = 1000  # ids remembered so that their late heartbeats change nothing
-# Seconds between two heartbeats of a new id after which it is believed without the health
-# endpoint: less than a server leaves between two, more than lies between late ones that come
-# together.
+# Ids remembered so that their late heartbeats change nothing; chosen, not measured.
+MAX_RETIRED = 1000
+# Seconds between two heartbeats of a new id after which it is registered without an answer of
+# the health endpoint. It is less than the pause between two heartbeats of a server that lives,
+# and more than that between late ones of a dead server, which arrive together.
 CLAIM_SECONDS = 1.0
 
 
@@ -46,7 +47,8 @@
 class Registered:
     """The backend server that stands beside the daemon now.
 
-    `warm_at` is when it will be warm, in seconds, monotonic; None: it has not told.
+    `slots` is its concurrency. `warm_at` is when it will be warm, in seconds, monotonic; None:
+    it has not reported that.
     """
 
     server: str
@@ -57,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Claim:
-    """The first heartbeat of a new id while another was registered; `since` is its time."""
+    """The first heartbeat of a new id while another was registered, which came at `since`."""
 
     server: str
     beat: Heartbeat
@@ -77,7 +79,7 @@
 
     @property
     def is_disputed(self) -> bool:
-        """Whether two ids say that they stand here: the health endpoint should be asked."""
+        """Whether two ids claim to be the server here: the health endpoint should be asked."""
         return self._claim is not None
 
     def on_heartbeat(self, server: str, beat: Heartbeat, now: float) -> bool:
@@ -88,7 +90,7 @@
             return self._update(beat, now)
         if self.current is not None:
             if not self.current.draining and beat.state is ServerState.DRAINING:
-                # A late word of one that went before: the server here is not meant.
+                # Late, from a server that left before the present one came.
                 self._retire(server)
                 return False
             if not self._confirms_claim(server, beat, now):
@@ -109,12 +111,12 @@
     def on_health(
         self, server: str, slots: int, *, well: bool, warm_at: float | None = None
     ) -> bool:
-        """The health endpoint told who is there; whether `current` changed.
+        """The health endpoint answered as `server`; whether `current` changed.
 
-        `warm_at` is when the server will be warm by its word, None if it said nothing of it.
-
-        Its word on how the server is counts only until the first heartbeat, as it may be wrong
-        in both ways; who it is settles a dispute.
+        `well` is whether its status was good, `warm_at` when the server will be warm, None if
+        the answer said nothing of it. The id always settles a dispute. Otherwise the answer
+        counts only until the first heartbeat, as it may call a server well that is not, and the
+        reverse.
         """
         if self._claim is not None:
             return self._settle(server)
@@ -124,7 +126,7 @@
         return True
 
     def _confirms_claim(self, server: str, beat: Heartbeat, now: float) -> bool:
-        """Note that a new id says that it stands here; whether it has said so for long."""
+        """Note that a new id claims to be here; whether it has for `CLAIM_SECONDS`."""
         if self._claim is None or self._claim.server != server:
             self._claim = _Claim(server, beat, now)
             return False
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -43,7 +43,7 @@
 # Seconds from listening in which a first configuration and list are expected: 0.05 at the
 # median, 0.07 at most of 78 daemons on 0.43 of a core that lost their power together.
 START_SECONDS = 0.2
-# Settings that SIGHUP takes over; default.ini says so at each.
+# Settings that SIGHUP takes over; the head of default.ini names them.
 RELOADED = ("chooser", "log_level", "stop_grace", "trace_sample")
 
 
@@ -141,19 +141,19 @@
         return 0 if was_asked else 1
 
     def stop(self) -> None:
-        """Begin a planned stop: no new callers, no new work, finish what is in flight."""
+        """Begin a planned stop: callers are asked to leave, what is in flight is finished."""
         self.view.stopping = True
         if not self.settings.stop_listening_after:
             self._close()
         self._stopping.set()
 
     def _close(self) -> None:
-        """Take no more callers and no more work."""
+        """Refuse callers and new work from now on."""
         self.view.closed = True
         self.bus.fire(leaving("asked to stop"))
 
     def reload(self, settings: Settings) -> None:
-        """Take over what may change while running; the rest is named and left as it is."""
+        """Take over the settings that may change while running; log the others that differ."""
         fixed = [
             field.name
             for field in dataclasses.fields(Settings)
@@ -203,8 +203,8 @@
     async def _start_pages(self) -> "PageServer":
         """Start the operators' pages, when requests can come already."""
         settings = self.settings
-        # The first calls to the platform and the backend server go out, and are answered while
-        # this loads. Not in a thread: two in a thousand starts then ended with SIGILL.
+        # Let the tasks send their first calls to the platform and the backend server, which are
+        # answered while this loads. Not in a thread: 2 of 1000 starts then ended with SIGILL.
         await asyncio.sleep(0)
         from wheatslipd.telemetry.pages import PageServer
 
@@ -228,7 +228,7 @@
         """Let what is in flight finish, within the grace of the settings."""
         grace = self.settings.stop_grace
         if self.own_server is not None and self.view.draining:
-            # The backend server leaves, and we with it.
+            # The backend server leaves and this daemon with it: no one may find it any more.
             self.own_server.withdraw()
         elif self.own_server is not None:
             self.own_server.publish()
--- a/packages/wheatslipd/wheatslipd/run.py
+++ b/packages/wheatslipd/wheatslipd/run.py
@@ -1,6 +1,6 @@
 """Runs one daemon in this process: its loop, its signals, its settings when they change.
 
-Apart from the command line, as an embedder starts a daemon without one.
+The command line is read in `main`, as an embedder starts a daemon without one.
 """
 
 import asyncio
@@ -21,7 +21,9 @@
 
 EXIT_FAILED = 1
 EXIT_BAD_SETTINGS = 2
-COLLECT_AFTER = 20_000  # new objects before the youngest generation is collected
+# The garbage collector's thresholds: new objects before the youngest generation is collected,
+# and collections of a generation before the next one is. Chosen, not measured.
+COLLECT_AFTER = (20_000, 20, 100)
 
 
 def run_daemon(
@@ -72,12 +74,12 @@
 
 
 def _spare_collector() -> None:
-    """Keep what was loaded at the start out of the collector's sight, and let it look less
-    often: a full collection would stop all requests for tens of milliseconds.
+    """Exempt what was loaded at the start from garbage collection, and collect less often: a
+    full collection stops all requests for tens of milliseconds.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 100)
+    gc.set_threshold(*COLLECT_AFTER)
 
 
 def uses_io_uring() -> bool:
@@ -91,5 +93,5 @@
 def _target(link: Path) -> str:
     try:
         return os.readlink(link)
-    except OSError:  # it was closed while we looked
+    except OSError:  # it was closed in between
         return ""
--- a/packages/wheatslipd/wheatslipd/telemetry/outcometext.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/outcometext.py
@@ -1,10 +1,10 @@
-"""Outcomes in words, for logs, metrics and spans."""
+"""Outcomes as text, for logs, metrics and spans."""
 
 from wheatslip.outcome import NotRun, Outcome, Unknown
 
 
 def describe(outcome: Outcome) -> str:
-    """An outcome in a word or two, for logs, metrics and spans."""
+    """`answered`, `not-run:REASON` or `unknown:REASON`."""
     match outcome:
         case NotRun(reason):
             return f"not-run:{reason.value}"
--- a/packages/wheatslipd/wheatslipd/telemetry/pages.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pages.py
@@ -16,7 +16,7 @@
 
 from wheatslipd.telemetry.pagesource import PageSource, Status
 
-START_SECONDS = 10.0
+START_TIMEOUT = 10.0  # seconds until the server listens; chosen, not measured
 
 
 class _Pages(Controller):
@@ -29,7 +29,7 @@
         self._source = source
 
     def health(self) -> str:
-        """200 once a configuration is in force and the daemon does not leave."""
+        """200 while callers may come: see `StateReport`; otherwise 503."""
         status = self._source.ask(self._source.status)
         assert isinstance(status, Status)
         self.response.status = 200 if status.ready else 503
@@ -49,7 +49,7 @@
 
 
 class _ReadyWatch(Component):
-    """Notes the port that the server got."""
+    """Notes the port on which the server listens."""
 
     channel = "*"
 
@@ -78,7 +78,7 @@
     async def start(self) -> int:
         """Start the thread; returns the port."""
         self._server.start()
-        await asyncio.to_thread(self._watch.is_ready.wait, START_SECONDS)
+        await asyncio.to_thread(self._watch.is_ready.wait, START_TIMEOUT)
         return int(self._watch.port)
 
     async def stop(self) -> None:
--- a/packages/wheatslipd/wheatslipd/telemetry/pagesource.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pagesource.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-ASK_SECONDS = 2.0  # that a page waits for the daemon's loop
+ASK_TIMEOUT = 2.0  # seconds that a page waits for the daemon's loop; chosen, not measured
 
 
 class Status(msgspec.Struct, frozen=True):
@@ -28,8 +28,8 @@
     watches: bool
     parent: str  # the daemon that is followed; empty: none
     head_age: float | None  # seconds, see `Feed.head_age`
-    emptied_zones: tuple[str, ...]  # by operators, as far as it is known here
-    cold: bool  # the backend server is held to its cold rate
+    emptied_zones: tuple[str, ...]  # zones with a drain, as far as known here
+    cold: bool  # the backend server is cold and its starts are spaced
     followers: int
     relay_bytes: int
 
@@ -48,4 +48,4 @@
         async def call() -> Status | bytes:
             return what()
 
-        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(ASK_SECONDS)
+        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(ASK_TIMEOUT)
--- a/packages/wheatslipd/wheatslipd/telemetry/tracing.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/tracing.py
@@ -1,7 +1,7 @@
 """Traces: a span for each hop, with W3C traceparent in and out.
 
-The head of a trace decides whether it is sampled. A request that is not sampled costs one
-random number or one look at a header, and no span.
+Where a trace begins it is decided whether it is sampled. A request that is not sampled costs
+one random number or the parsing of one header, and no span.
 """
 
 from dataclasses import dataclass
@@ -69,9 +69,8 @@
 
     @cached_property
     def _provider(self) -> "TracerProvider":
-        """What makes spans; made with the first one.
-
-        Its library takes memory and time to load, which a daemon that samples nothing saves.
+        """The maker of spans, loaded with the first one: a daemon that samples nothing saves
+        the memory and time that its library takes to load.
         """
         from opentelemetry.sdk.resources import Resource
         from opentelemetry.sdk.trace import TracerProvider
