--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -26,7 +26,7 @@
     """What a backend server says of itself."""
 
     READY = "ready"
-    DRAINING = "draining"
+    LEAVING = "draining"  # takes no new work and ends
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
 
     server: str
     slots: int
-    draining: bool = False
+    leaving: bool = False
     warm_at: float | None = None
 
 
@@ -89,7 +89,7 @@
         if self._is_current(server):
             return self._update(beat, now)
         if self.current is not None:
-            if not self.current.draining and beat.state is ServerState.DRAINING:
+            if not self.current.leaving and beat.state is ServerState.LEAVING:
                 # Late, from a server that left before the present one came.
                 self._retire(server)
                 return False
@@ -103,7 +103,7 @@
         if self._claim is not None and self._claim.server == server:
             self._claim = None
         current = self.current
-        if current is None or current.server != server or current.draining:
+        if current is None or current.server != server or current.leaving:
             return False
         self.current = Registered(server, current.slots, True, current.warm_at)
         return True
@@ -165,14 +165,14 @@
 
     def _set(self, server: str, beat: Heartbeat, now: float) -> bool:
         before = self.current
-        draining = beat.state is ServerState.DRAINING
+        leaving = beat.state is ServerState.LEAVING
         if before is not None and before.server == server:
-            draining = draining or before.draining
-        self.current = Registered(server, beat.slots, draining, now + beat.warm_in)
-        return before is None or (before.server, before.slots, before.draining) != (
+            leaving = leaving or before.leaving
+        self.current = Registered(server, beat.slots, leaving, now + beat.warm_in)
+        return before is None or (before.server, before.slots, before.leaving) != (
             server,
             beat.slots,
-            draining,
+            leaving,
         )
 
     def _retire(self, server: str) -> None:
--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -38,16 +38,16 @@
 
     def leaving(self, cause: str) -> None:
         """Take no new work; what is in flight goes on."""
-        if not self._view.draining:
+        if not self._view.leaving:
             logs.info("draining", cause=cause, in_flight=self._gate.admission.in_flight)
-        self._view.draining = True
+        self._view.leaving = True
         self._gate.server_leaves()
 
     def returned(self) -> None:
         """Take new work again: it was a start before this one that left."""
-        if self._view.draining and not self._view.stopping:
+        if self._view.leaving and not self._view.stopping:
             logs.info("drain-taken-back")
-            self._view.draining = False
+            self._view.leaving = False
             self._gate.server_stays()
 
     def bundle_in_force(self, bundle: Bundle) -> None:
@@ -68,10 +68,10 @@
         assert self._own_server is not None
         self._server_side.peer_port.server = registered.server
         self._own_server.take_registration(registered)
-        if registered.draining:
+        if registered.leaving:
             self.leaving(f"backend server {registered.server} leaves")
         else:
-            self._view.draining = False
+            self._view.leaving = False
             self._gate.server_stays()
         self._own_server.publish()
 
--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -59,7 +59,7 @@
     once there are a configuration, the zone drains and a list of instances. At the start,
     requests wait for these until `expected_until` (seconds, monotonic).
 
-    `draining`: the backend server here takes no new work; the entry still forwards callers'
+    `leaving`: the backend server here takes no new work; the entry still forwards callers'
     requests to others. `stopping`: the health page and a "connection: close" on each answer
     ask callers to go elsewhere. `closed`: no request is taken any more.
     """
@@ -67,7 +67,7 @@
     configuration: Configuration | None = None
     membership: Membership = field(default_factory=Membership)
     drains: ZoneDrains | None = None
-    draining: bool = False
+    leaving: bool = False
     stopping: bool = False
     closed: bool = False
     expected_until: float = float("-inf")
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -227,7 +227,7 @@
     async def _finish_in_flight(self) -> None:
         """Let what is in flight finish, within the grace of the settings."""
         grace = self.settings.stop_grace
-        if self.own_server is not None and self.view.draining:
+        if self.own_server is not None and self.view.leaving:
             # The backend server leaves and this daemon with it: no one may find it any more.
             self.own_server.withdraw()
         elif self.own_server is not None:
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -118,7 +118,7 @@
         now = self._clock()
         if registered.warm_at is not None:
             self._gate.admission.cold.reported(registered.warm_at - now, now)
-        if not registered.draining:
+        if not registered.leaving:
             self._gate.server_stays()
 
     def take_registration(self, registered: Registered) -> None:
@@ -145,7 +145,7 @@
         """Let the list show this daemon as it is now."""
         settings = self._settings
         ports = self._ports()
-        leaves = self._view.draining or self._view.stopping
+        leaves = self._view.leaving or self._view.stopping
         self._publisher.publish(
             Instance(
                 name=settings.name,
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -143,6 +143,6 @@
                 "backend-registered",
                 server=current.server,
                 slots=current.slots,
-                draining=current.draining,
+                draining=current.leaving,
             )
             self._bus.fire(backend_registered(current))
--- a/packages/wheatslipd/wheatslipd/telemetry/statereport.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/statereport.py
@@ -42,7 +42,7 @@
             peer_port=self._peer_server.port,
             version=view.version,
             ready=self._is_ready(),
-            draining=view.draining,
+            draining=view.leaving,
             in_flight=admission.in_flight,
             queued=admission.queued,
             limit=admission.limit.value,
@@ -83,4 +83,4 @@
         view = self._view
         if not view.version or view.drains is None or view.stopping:
             return False
-        return self._settings.lists_itself or not view.draining
+        return self._settings.lists_itself or not view.leaving
--- a/test/test_fleet_adapter.py
+++ b/test/test_fleet_adapter.py
@@ -134,7 +134,7 @@
         "status": {"state": "draining", "seq": 4, "cold_remaining_s": 1.5},
     }
     assert decode_heartbeat(json.dumps(body).encode()) == Heartbeat(
-        "papers", "10.0.0.9:8080", 12, 4, ServerState.DRAINING, 1.5
+        "papers", "10.0.0.9:8080", 12, 4, ServerState.LEAVING, 1.5
     )
     body["status"]["state"] = "asleep"
     assert decode_heartbeat(json.dumps(body).encode()) is None
--- a/test/test_registration.py
+++ b/test/test_registration.py
@@ -38,10 +38,10 @@
 def test_a_late_heartbeat_does_not_take_draining_back():
     one = registration()
     one.on_heartbeat("a", beat(1), 0.0)
-    assert one.on_heartbeat("a", beat(3, ServerState.DRAINING), 1.0)
+    assert one.on_heartbeat("a", beat(3, ServerState.LEAVING), 1.0)
     assert not one.on_heartbeat("a", beat(2), 1.1)
     assert not one.on_heartbeat("a", beat(4), 1.2)
-    assert one.current.draining
+    assert one.current.leaving
 
 
 def test_a_goodbye_counts_without_a_heartbeat_before_it():
@@ -59,14 +59,14 @@
     assert one.current.server == "b"
     assert not one.on_heartbeat("a", beat(6), 1.1)
     assert not one.on_goodbye("a")
-    assert one.current.server == "b" and not one.current.draining
+    assert one.current.server == "b" and not one.current.leaving
 
 
 def test_a_late_draining_word_of_the_server_before_spares_the_present_one():
     one = registration()
     one.on_health("b", 12, well=True)
-    assert not one.on_heartbeat("a", beat(9, ServerState.DRAINING), 0.0)
-    assert one.current.server == "b" and not one.current.draining
+    assert not one.on_heartbeat("a", beat(9, ServerState.LEAVING), 0.0)
+    assert one.current.server == "b" and not one.current.leaving
 
 
 def test_a_late_heartbeat_of_a_crashed_server_changes_nothing_after_a_new_start_of_ours():
@@ -83,7 +83,7 @@
         assert one.current.server == "b" and not one.is_disputed
         assert not one.on_heartbeat("a", beat(10), 2.5)
         one.on_heartbeat("b", beat(2), 2.6)
-        assert one.on_heartbeat("b", beat(3, ServerState.DRAINING), 2.7)
+        assert one.on_heartbeat("b", beat(3, ServerState.LEAVING), 2.7)
 
 
 def test_late_heartbeats_that_come_together_do_not_confirm_each_other():
@@ -108,8 +108,8 @@
     assert not one.on_health("a", 12, well=False)
     assert one.on_health("a", 12, well=True)
     assert not one.on_health("b", 12, well=True)
-    assert one.on_heartbeat("a", beat(1, ServerState.DRAINING), 0.0)
-    assert one.current.draining
+    assert one.on_heartbeat("a", beat(1, ServerState.LEAVING), 0.0)
+    assert one.current.leaving
 
 
 def test_ids_of_the_past_are_bounded():
@@ -123,7 +123,7 @@
     st.tuples(
         st.sampled_from("ab"),
         st.integers(1, 6),
-        st.sampled_from([ServerState.READY, ServerState.DRAINING, None]),
+        st.sampled_from([ServerState.READY, ServerState.LEAVING, None]),
     ),
     max_size=12,
 )
@@ -141,7 +141,7 @@
         else:
             one.on_heartbeat(server, beat(sequence, state), 0.0)
             is_current = one.current is not None and one.current.server == server
-            if is_current and one.current.draining:
+            if is_current and one.current.leaving:
                 left.add(server)
         if one.current is not None and one.current.server in left:
-            assert one.current.draining
+            assert one.current.leaving
