--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -16,7 +16,7 @@
 
 from wheatslipd.controllers.bundles import BundleController
 from wheatslipd.controllers.bus import Bus
-from wheatslipd.controllers.events import leaving, newer_version_seen
+from wheatslipd.controllers.events import leaving
 from wheatslipd.controllers.lifecycle import Lifecycle
 from wheatslipd.controllers.membership import MembershipController
 from wheatslipd.controllers.view import View
@@ -43,7 +43,7 @@
 # Seconds from listening in which a first configuration and list are expected: 0.05 at the
 # median, 0.07 at most of 78 daemons on 0.43 of a core that lost their power together.
 START_SECONDS = 0.2
-# Settings that SIGHUP takes over; default.ini says so at each.
+# Settings that SIGHUP takes over; the head of default.ini names them.
 RELOADED = ("chooser", "log_level", "stop_grace", "trace_sample")
 
 
@@ -94,36 +94,13 @@
         )
         # A request's way: the entry of one daemon, then the server side of another or this one.
         cache = self.feed.cache
-        entry = build_entry(
-            settings,
-            shared,
-            self._chooser,
-            self._tracer,
-            members=lambda: len(cache.instances),
-            on_newer_version=self._hint_newer_version,
-        )
-        self.server_side = build_server_side(
-            settings,
-            shared,
-            self._tracer,
-            owners,
-            list_checked=lambda: cache.checked,
-            on_newer_version=self._hint_newer_version,
-        )
+        entry = build_entry(settings, shared, self._chooser, self._tracer, cache)
         self.entry_server = Server(entry.handle)
+        self.server_side = build_server_side(settings, shared, self._tracer, owners, cache)
         self.peer_server = Server(self.server_side.peer_port.handle, tls.server)
         # The backend server's registration, where the platform does not list instances.
-        self.own_server: OwnServer | None = None
-        if settings.lists_itself:
-            self.own_server = OwnServer(
-                settings,
-                shared,
-                self.server_side,
-                self.feed,
-                store,
-                adapters.decode_heartbeat,
-                self._ports,
-            )
+        self.own_server = self._own_server(store, adapters) if settings.lists_itself else None
+        # What happens is fired on the bus, and these act on it.
         self._register(
             BundleController(self.view, metrics),
             MembershipController(settings, shared, owners, tls),
@@ -164,19 +141,19 @@
         return 0 if was_asked else 1
 
     def stop(self) -> None:
-        """Begin a planned stop: no new callers, no new work, finish what is in flight."""
+        """Begin a planned stop: callers are asked to leave, what is in flight is finished."""
         self.view.stopping = True
         if not self.settings.stop_listening_after:
             self._close()
         self._stopping.set()
 
     def _close(self) -> None:
-        """Take no more callers and no more work."""
+        """Refuse callers and new work from now on."""
         self.view.closed = True
         self.bus.fire(leaving("asked to stop"))
 
     def reload(self, settings: Settings) -> None:
-        """Take over what may change while running; the rest is named and left as it is."""
+        """Take over the settings that may change while running; log the others that differ."""
         fixed = [
             field.name
             for field in dataclasses.fields(Settings)
@@ -195,6 +172,17 @@
         """The state for the status page."""
         return self._report.status()
 
+    def _own_server(self, store: ObjectStore, adapters: Adapters) -> OwnServer:
+        return OwnServer(
+            self.settings,
+            self._shared,
+            self.server_side,
+            self.feed,
+            store,
+            adapters.decode_heartbeat,
+            self._ports,
+        )
+
     def _register(self, *controllers: Component) -> None:
         for controller in controllers:
             controller.register(self.bus)
@@ -202,9 +190,6 @@
     def _ports(self) -> ListedPorts:
         return ListedPorts(self.entry_server.port, self.peer_server.port, self.feed.relay.port)
 
-    def _hint_newer_version(self, version: int, address: str) -> None:
-        self.bus.fire(newer_version_seen(version, address))
-
     async def _listen(self) -> None:
         """Listen for requests, other daemons and heartbeats. Raises OSError."""
         settings = self.settings
@@ -218,8 +203,8 @@
     async def _start_pages(self) -> "PageServer":
         """Start the operators' pages, when requests can come already."""
         settings = self.settings
-        # The first calls to the platform and the backend server go out, and are answered while
-        # this loads. Not in a thread: two in a thousand starts then ended with SIGILL.
+        # Let the tasks send their first calls to the platform and the backend server, which are
+        # answered while this loads. Not in a thread: 2 of 1000 starts then ended with SIGILL.
         await asyncio.sleep(0)
         from wheatslipd.telemetry.pages import PageServer
 
@@ -242,8 +227,8 @@
     async def _finish_in_flight(self) -> None:
         """Let what is in flight finish, within the grace of the settings."""
         grace = self.settings.stop_grace
-        if self.own_server is not None and self.view.draining:
-            # The backend server leaves, and we with it.
+        if self.own_server is not None and self.view.leaving:
+            # The backend server leaves and this daemon with it: no one may find it any more.
             self.own_server.withdraw()
         elif self.own_server is not None:
             self.own_server.publish()
