--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 
 from soak.course import Step, beside_other_version, draw
 from soak.history import History, Ran, broken_promises
-from soak.installation import SERVICE, SLOTS, Installation
+from soak.injector import SERVICE, SLOTS, FaultInjector
 from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
 from standins.operators import Desk
@@ -33,34 +33,35 @@
 async def soak(
     folder: Path, seed: int, seconds: float, other_version: Path | None = None
 ) -> History:
-    """Run the course of a seed, and return what was seen. With another version's checkout it
-    is the course for two versions side by side, which takes as long as it does.
+    """Run the course of a seed and return what was observed.
+
+    With the checkout of another version, the course is the one for two versions side by side;
+    its length does not depend on `seconds`.
     """
     plans = make_plans(other_version)
-    steps, updates = _course(plans, seed, seconds)
     cluster = Cluster(folder, MORE_SETTINGS)
     history = History()
+    injector = FaultInjector(cluster, Desk(folder), history, credential_digest(SECRET))
     await cluster.open()
     try:
-        digest = credential_digest(SECRET)
-        one = Installation(cluster, Desk(folder), history, digest)
-        await one.prepare(plans)
+        await injector.prepare(plans)
         caller = Caller(cluster.session, WORKSPACE, SECRET, Random(f"calls {seed}"))
-        observing = asyncio.create_task(_observe(one))
+        observing = asyncio.create_task(_observe(injector))
         over = asyncio.Event()
         sending = asyncio.create_task(_send(caller, cluster, seconds, over))
-        await asyncio.gather(*(_carry_out(one, step) for step in steps))
+        steps, updates = _course(plans, seed, seconds)
+        await _play(injector, steps)
         if updates:
-            await one.calm()
+            await injector.wait_until_calm()
             await _send_in_calm(caller, cluster, history)
-            one.use_own_code()
-            await asyncio.gather(*(_carry_out(one, step) for step in updates))
+            injector.use_own_code()
+            await _play(injector, updates)
         over.set()
         await sending
-        await one.calm()
+        await injector.wait_until_calm()
         observing.cancel()
         await _send_in_calm(caller, cluster, history)
-        await _collect(one, caller, history)
+        await _collect(injector, caller, history)
     finally:
         codes = await cluster.close()
     if any(codes):
@@ -90,18 +91,22 @@
     return draw(seed, seconds, own, ZONES), []
 
 
-async def _carry_out(one: Installation, step: Step) -> None:
+async def _play(injector: FaultInjector, steps: list[Step]) -> None:
+    await asyncio.gather(*(_play_step(injector, step) for step in steps))
+
+
+async def _play_step(injector: FaultInjector, step: Step) -> None:
     await asyncio.sleep(step.at)
-    # A daemon that was started again may take longer than the course thought.
-    async with one.places[step.where or step.fault]:
-        await one.begin(step)
+    # The restart that ends an earlier step at this place may take longer than planned.
+    async with injector.places[step.where or step.fault]:
+        await injector.begin(step)
         await asyncio.sleep(step.seconds)
-        await one.end(step)
+        await injector.end(step)
 
 
-async def _observe(one: Installation) -> None:
+async def _observe(injector: FaultInjector) -> None:
     while True:
-        await one.observe()
+        await injector.observe()
         await asyncio.sleep(OBSERVE_SECONDS)
 
 
@@ -135,12 +140,12 @@
         history.last_answered += one.reported is Reported.ANSWERED
 
 
-async def _collect(one: Installation, caller: Caller, history: History) -> None:
+async def _collect(injector: FaultInjector, caller: Caller, history: History) -> None:
     history.requests = caller.requests
-    for name, member in one.cluster.members.items():
-        record = await one.cluster.record(name)
+    for name, member in injector.cluster.members.items():
+        record = await injector.cluster.record(name)
         zone = member.plan.zone
-        history.ran += [Ran(run, zone, run.at - one.began) for run in record.runs]
+        history.ran += [Ran(run, zone, run.at - injector.began) for run in record.runs]
 
 
 def main() -> int:
@@ -161,7 +166,7 @@
         seconds = options.minutes * SECONDS_A_MINUTE
         history = asyncio.run(soak(Path(folder), options.seed, seconds, options.other_version))
     reported = [one.reported for one in history.requests]
-    counts = ", ".join(f"{reported.count(word)} {word.value}" for word in Reported)
+    counts = ", ".join(f"{reported.count(kind)} {kind.value}" for kind in Reported)
     print(
         f"seed {options.seed}: {len(reported)} requests ({counts}), "
         f"{len(history.observations)} observations, {len(history.drained_zones)} zone drains, "
--- a/soak/course.py
+++ b/soak/course.py
@@ -1,4 +1,4 @@
-"""The course of one soak: which faults come when, drawn from a seed. Pure code.
+"""The course of one soak: which fault begins when, drawn from a seed. Pure code.
 
 Faults come in series and overlap: the next begins before the one before has ended about as
 often as not. Times are seconds from the start of the traffic.
@@ -67,7 +67,7 @@
     """The steps of a soak of so many seconds.
 
     No instance and no zone has two faults at a time, and one instance at least has none: with
-    all of them away nothing could be told from the answers.
+    all of them away, the answers would show nothing.
     """
     rng = Random(f"soak {seed}")
     steps: list[Step] = []
--- a/soak/installation.py
+++ b/soak/injector.py
@@ -1,4 +1,4 @@
-"""The processes of one soak, and what faults do to them."""
+"""Brings faults about in a cluster and takes them back; records what the daemons report."""
 
 import asyncio
 import signal
@@ -48,8 +48,8 @@
 
 
 @dataclass(slots=True)
-class Installation:
-    """A cluster under faults; what they show goes into the history."""
+class FaultInjector:
+    """Plays the steps of a course on one cluster."""
 
     cluster: Cluster
     desk: Desk
@@ -64,7 +64,7 @@
 
     @property
     def now(self) -> float:
-        """Seconds since the soak began, by the time of day that backend servers write down."""
+        """Seconds since the soak began, by the clock that backend servers record runs with."""
         return time.time() - self.began
 
     async def prepare(self, plans: list[Plan]) -> None:
@@ -148,7 +148,7 @@
                 assert isinstance(version, int)
                 self.history.observations.append(Observation(at, name, life, version))
 
-    async def calm(self) -> None:
+    async def wait_until_calm(self) -> None:
         """Wait until all faults and their effects are over."""
         await self.cluster.set_faults(Faults())
         try:
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,7 +1,7 @@
 """Stand-in for a backend server: slots, service times with a tail, load and health, faults.
 
-It writes down every request that it ran, so that a checker can compare that with what
-callers were told.
+It records every request that it ran, so that a checker can compare the record with the
+outcomes that callers got.
 """
 
 import argparse
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -94,10 +94,10 @@
         self, request: Request, response: aiohttp.ClientResponse, text: str, size: int
     ) -> None:
         outcome = response.headers.get("wheatslip-outcome", "")
-        word, _, request.reason = outcome.partition("; ")
-        if word == "not-run":
+        kind, _, request.reason = outcome.partition("; ")
+        if kind == "not-run":
             request.reported = Reported.NOT_RUN
-        elif word != "answered":
+        elif kind != "answered":
             request.reported = Reported.UNKNOWN
         else:
             request.reported = Reported.ANSWERED
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -29,7 +29,7 @@
 
 
 class StartFailed(Exception):
-    """A process ended or said nothing where it should have started."""
+    """A process ended before it was ready."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/standins/link.py
+++ b/standins/link.py
@@ -19,7 +19,7 @@
     port: int = 0
     carried: int = 0
     _server: asyncio.Server | None = None
-    _turn: asyncio.Lock = field(default_factory=asyncio.Lock)
+    _sending: asyncio.Lock = field(default_factory=asyncio.Lock)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def open(self) -> None:
@@ -71,7 +71,7 @@
     async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError):
             while piece := await reader.read(PIECE):
-                async with self._turn:
+                async with self._sending:
                     await asyncio.sleep(len(piece) / self.bytes_per_second)
                 self.carried += len(piece)
                 writer.write(piece)
--- a/standins/plainbackend.py
+++ b/standins/plainbackend.py
@@ -1,6 +1,6 @@
 """Stand-in for a backend server that speaks plain HTTP and registers by heartbeats.
 
-It keeps what it was sent, and misbehaves as a test tells it.
+It keeps the requests that it received, and misbehaves as a test sets it to.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
     """What it does with requests instead of answering well."""
 
     NONE = "none"
-    SHED = "shed"  # refuses, and says that it has not run the request
+    SHED = "shed"  # refuses, with the header for a request that was not run
     FAIL = "fail"  # runs it and answers 500
     RESET = "reset"  # runs it and resets the connection
     CUT = "cut"  # runs it and breaks off its answer
