--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -11,7 +11,6 @@
 from circuits import Component
 from wheatslip.chooser import Chooser
 from wheatslip.owners import OwnerHistory
-from wheatslip.store.objectclient import ObjectClient
 from wheatslip.store.objects import ObjectStore
 
 from wheatslipd.controllers.bundles import BundleController
@@ -71,7 +70,7 @@
     ):
         """Build everything; nothing runs before `run`."""
         adapters = adapters or Adapters()
-        store = adapters.store or ObjectClient(settings.platform, rng)
+        store = adapters.store or _object_client(settings.platform, rng)
         tls = peer_tls(settings.peer_tls)
         owners = OwnerHistory()
         metrics = Metrics(settings.name, settings.zone)
@@ -244,3 +243,10 @@
         if not all(finished):
             logs.error("stop-cut-requests", grace=grace)
         self.server_side.backend.close()
+
+
+def _object_client(address: str, rng: Random) -> ObjectStore:
+    # Imported when it is needed: a daemon on another store starts without it.
+    from wheatslip.store.objectclient import ObjectClient
+
+    return ObjectClient(address, rng)
