--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -90,13 +90,7 @@
             logs.warning("heartbeat-unreadable", server=server, repeat_key=server)
             await exchange.respond(ResponseHead(400))
             return
-        self._apply(self._registration.on_heartbeat(server, beat, self._clock()))
-        current = self._registration.current
-        if current is not None and current.server == server:
-            self._on_beat(current)
-        if self._registration.is_disputed:
-            logs.info("server-disputed", server=server, sequence=beat.sequence)
-            self._disputed.set()
+        self._take_heartbeat(server, beat)
         await exchange.respond(ResponseHead(200), b"{}")
 
     async def run(self) -> None:
@@ -116,6 +110,15 @@
             self._disputed.clear()
             await self._disputed.wait()
 
+    def _take_heartbeat(self, server: str, beat: Heartbeat) -> None:
+        self._apply(self._registration.on_heartbeat(server, beat, self._clock()))
+        current = self._registration.current
+        if current is not None and current.server == server:
+            self._on_beat(current)
+        if self._registration.is_disputed:
+            logs.info("server-disputed", server=server, sequence=beat.sequence)
+            self._disputed.set()
+
     def _is_in_question(self) -> bool:
         return self._registration.current is None or self._registration.is_disputed
 
--- a/packages/wheatslipd/wheatslipd/telemetry/pages.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pages.py
@@ -14,7 +14,7 @@
 from circuits.core.pollers import EPoll
 from circuits.web import Controller, Server
 
-from wheatslipd.telemetry.pagesource import PageSource, Status
+from wheatslipd.telemetry.pagesource import PageSource
 
 START_TIMEOUT = 10.0  # seconds until the server listens; chosen, not measured
 
@@ -31,7 +31,6 @@
     def health(self) -> str:
         """200 while callers may come: see `StateReport`; otherwise 503."""
         status = self._source.ask(self._source.status)
-        assert isinstance(status, Status)
         self.response.status = 200 if status.ready else 503
         return "ready\n" if status.ready else "not ready\n"
 
@@ -43,9 +42,7 @@
     def metrics(self) -> str:
         """Prometheus' text format."""
         self.response.headers["Content-Type"] = "text/plain; version=0.0.4"
-        content = self._source.ask(self._source.metrics)
-        assert isinstance(content, bytes)
-        return content.decode()
+        return self._source.ask(self._source.metrics).decode()
 
 
 class _ReadyWatch(Component):
--- a/packages/wheatslipd/wheatslipd/telemetry/pagesource.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pagesource.py
@@ -3,9 +3,12 @@
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TypeVar
 
 import msgspec
 
+T = TypeVar("T")
+
 ASK_TIMEOUT = 2.0  # seconds that a page waits for the daemon's loop; chosen, not measured
 
 
@@ -42,10 +45,10 @@
     status: Callable[[], Status]
     metrics: Callable[[], bytes]
 
-    def ask(self, what: Callable[[], Status] | Callable[[], bytes]) -> Status | bytes:
-        """Call `what` in the daemon's loop and wait for it."""
+    def ask(self, read: Callable[[], T]) -> T:
+        """Call `read` in the daemon's loop; returns its result. Raises TimeoutError."""
 
-        async def call() -> Status | bytes:
-            return what()
+        async def call() -> T:
+            return read()
 
         return asyncio.run_coroutine_threadsafe(call(), self.loop).result(ASK_TIMEOUT)
