--- a/packages/wheatslipd/wheatslipd/feed/relay.py
+++ b/packages/wheatslipd/wheatslipd/feed/relay.py
@@ -123,6 +123,6 @@
                         logs.warning("update-refused", parent=parent.name, why=why)
                         return
     except (OSError, TimeoutError, GRPCError, StreamTerminatedError, msgspec.DecodeError):
-        return  # the caller tries the next parent, and logs which one
+        return  # the caller logs the daemon that it tries, and goes on to another
     finally:
         channel.close()
