--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -115,12 +115,12 @@
     errors_at: float = 0.0
     vouched_until: float = 0.0  # until then a good answer outweighs the list
     unreachable_since: float | None = None  # when its daemon stopped taking connections
-    leaving: bool = False  # listed as leaving; a report can't take that back
+    listed_leaving: bool = False  # a report can't take that back
 
     @property
-    def draining(self) -> bool:
+    def leaving(self) -> bool:
         """Whether it takes no new work."""
-        return self.leaving or (self.report is not None and self.report.draining)
+        return self.listed_leaving or (self.report is not None and self.report.leaving)
 
     def on_sent(self) -> None:
         """A request goes there."""
@@ -212,7 +212,7 @@
         When none of the rest is in good standing the pick is an even spread over all of
         them: the signs may be wrong, and all load on the last good one would overload it too.
         """
-        open_ones = [u for u in upstreams if u.name not in tried and not u.draining]
+        open_ones = [u for u in upstreams if u.name not in tried and not u.leaving]
         if not open_ones:
             return None
         well = [u for u in open_ones if u.paused_until <= now]
@@ -245,7 +245,7 @@
     def has_choice(self, upstreams: Sequence[Upstream], now: float, tried: Set[str]) -> bool:
         """Whether an upstream in good standing is left that was not tried."""
         return any(
-            u.name not in tried and not u.draining and u.paused_until <= now for u in upstreams
+            u.name not in tried and not u.leaving and u.paused_until <= now for u in upstreams
         )
 
     def soonest(
@@ -256,7 +256,7 @@
         Their refusals reported their load exactly, so it is taken as it is, undiscounted. An
         answer after `target` (seconds, monotonic) costs `miss_penalty` more.
         """
-        open_ones = [u for u in upstreams if not u.draining and u.report is not None]
+        open_ones = [u for u in upstreams if not u.leaving and u.report is not None]
         if not open_ones:
             return self.pick(upstreams, now)
         return min(open_ones, key=lambda u: self._queue_cost(u, now, target) * self._jitter())
--- a/packages/wheatslip/wheatslip/hop.py
+++ b/packages/wheatslip/wheatslip/hop.py
@@ -46,7 +46,7 @@
     limit: int  # the concurrency limit
     service: float  # recent mean service time, seconds
     version: int  # of the bundle in force there
-    draining: bool = False  # whether the server is leaving
+    leaving: bool = False  # whether the server is
     slowness: float = 1.0  # ratio of the present service time to that mean
 
 
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -67,7 +67,7 @@
         if peer is None or name in self._missing:
             return
         upstream = peer.upstream
-        if upstream.draining or upstream.unreachable_since is not None:
+        if upstream.leaving or upstream.unreachable_since is not None:
             self._remove(name)
             return
         logs.info("entry-missing", name=name, grace=LAPSE_GRACE)
@@ -97,7 +97,7 @@
         else:
             known.instance = instance
         is_leaving = instance.state is InstanceState.LEAVING
-        self._peers[instance.name].upstream.leaving |= is_leaving
+        self._peers[instance.name].upstream.listed_leaving |= is_leaving
         if instance.name == self._name and not self._lists_itself:
             self._take_own(instance, is_leaving)
 
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -100,7 +100,7 @@
             limit=admission.reported_limit(now),
             service=round(admission.usual_service(now), 4),
             version=self._view.version,
-            draining=self.is_closed_by(ClosedBy.SERVER_LEAVES),
+            leaving=self.is_closed_by(ClosedBy.SERVER_LEAVES),
             slowness=round(admission.slowness, 2),
         )
 
--- a/test/test_chooser.py
+++ b/test/test_chooser.py
@@ -28,7 +28,7 @@
 
 def test_draining_and_tried_upstreams_are_never_picked():
     chooser = Chooser("one", Random(1))
-    group = [upstream("a", leaving=True), upstream("b")]
+    group = [upstream("a", listed_leaving=True), upstream("b")]
     assert chooser.pick(group, 0.0, frozenset({"b"})) is None
 
 
