--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -118,7 +118,7 @@
         if ticket.started is not None:
             self._work(ticket)
             return
-        latest = max(self.now, self._gate.latest_start(call, self.now))
+        latest = max(self.now, self._gate.timing.latest_start(call, self.now))
         self._at(latest, lambda: self._gate.withdraw(ticket))
 
     def _work(self, ticket: Ticket) -> None:
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -42,7 +42,6 @@
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.retryafter import overloaded
-from wheatslip.speed import SpeedModel
 
 
 @dataclass(slots=True)
@@ -56,7 +55,7 @@
     cold: ColdStarts = field(init=False, default_factory=ColdStarts)
     _queue: GateQueue = field(init=False)
     _running: set[Ticket] = field(init=False, default_factory=set)
-    _was_full: bool = field(init=False, default=False)  # someone had to wait or go away
+    _was_full: bool = field(init=False, default=False)  # a request had to wait or was refused
 
     def __post_init__(self) -> None:
         self.timing = ServiceTiming(ConcurrencyLimit(self.settings.slots))
@@ -67,29 +66,6 @@
         """How many may run at one time."""
         return self.timing.limit
 
-    @property
-    def speed(self) -> SpeedModel:
-        """What is known of the server's slow spells."""
-        return self.timing.speed
-
-    @property
-    def slowness(self) -> float:
-        """How long work takes at the server now, as a part of the usual."""
-        return self.timing.slowness
-
-    @slowness.setter
-    def slowness(self, slowness: float) -> None:
-        self.timing.slowness = slowness
-
-    @property
-    def is_speed_known(self) -> bool:
-        """Whether the slowness was reported, where servers report it."""
-        return self.timing.is_speed_known
-
-    @is_speed_known.setter
-    def is_speed_known(self, known: bool) -> None:
-        self.timing.is_speed_known = known
-
     @property
     def in_flight(self) -> int:
         """Requests the backend server is working on."""
@@ -111,14 +87,6 @@
         self.settings = settings
         self._queue.set_urgent_share(settings.urgent_share)
 
-    def learn_speed(self, slowness: float, now: float) -> None:
-        """The backend server reports its slowness."""
-        self.timing.learn_speed(slowness, now)
-
-    def forget_speed(self) -> None:
-        """Another backend server has come: its speed is not known until it reports."""
-        self.timing.forget_speed()
-
     def gain_of_probing(self, call: Call, now: float) -> float:
         """What is saved on average if the server is probed before `call` starts, as a part of
         what an answer within its target is worth; 0 if the call can't start now.
@@ -129,14 +97,6 @@
             return 0.0  # it waits, and starts when an answer has reported the speed anew
         return gain_of_probing(self.timing, call, now)
 
-    def service_estimate(self, now: float) -> float:
-        """Seconds one request takes now."""
-        return self.timing.service_estimate(now)
-
-    def usual_service(self, now: float) -> float:
-        """Seconds one request takes when the server is as fast as usual."""
-        return self.timing.usual_service(now)
-
     def expected_wait(self, call: Call, now: float) -> float:
         """Seconds until a call that arrives now would start, given its workspace's share."""
         has_slot = self.in_flight < self.limit.value
@@ -144,7 +104,7 @@
             return self.cold.wait(0, now)
         urgent = call.call_class is CallClass.URGENT
         ahead = self._queue.ahead_of(call.workspace, urgent=urgent)
-        for_slot = (ahead + 1) / self.limit.value * self.service_estimate(now)
+        for_slot = (ahead + 1) / self.limit.value * self.timing.service_estimate(now)
         return max(for_slot, self.cold.wait(ahead, now))
 
     def cold_start_wait(self, now: float) -> float | None:
@@ -156,13 +116,13 @@
         return self.cold.wait(0, now) or None
 
     def reported_limit(self, now: float) -> int:
-        """Requests that may run at one time, as others should reckon with: of a cold server no
-        more than its rate keeps busy.
+        """Requests that may run at one time, for the load report: of a cold server no more than
+        its rate keeps busy.
         """
         limit = self.limit.value
         if self.cold.rate is None or not self.cold.is_cold(now):
             return limit
-        kept_busy = ceil(self.cold.rate.per_second * self.service_estimate(now))
+        kept_busy = ceil(self.cold.rate.per_second * self.timing.service_estimate(now))
         return max(1, min(limit, kept_busy))
 
     def arrive(self, call: Call, now: float, max_wait: float = ANY_WAIT) -> Ticket | NotRun:
@@ -190,7 +150,7 @@
         return ticket if self._enqueue(ticket) else overloaded(wait)
 
     def finish(self, ticket: Ticket, now: float, *, worked: bool) -> list[Ticket]:
-        """A started request has ended. `worked`: its time tells of the server's speed.
+        """A started request has ended. `worked`: its time shows the server's speed.
 
         Returns the tickets that start now.
         """
@@ -247,15 +207,11 @@
         return not self.closures.holding and self._starts_late(ticket, now)
 
     def refusal_after_wait(self, call: Call, now: float) -> NotRun:
-        """What a call hears that has waited and does not start."""
+        """The refusal of a call that has waited and does not start."""
         if call.hold_until > now:
             return NotRun(Reason.DEADLINE)
         return overloaded(self.expected_wait(call, now))
 
-    def latest_start(self, call: Call, now: float) -> float:
-        """The moment until which a request may wait."""
-        return self.timing.latest_start(call, now)
-
     def evicted(self) -> list[Ticket]:
         """Tickets pushed out of a full queue since the last call."""
         return self._queue.take_evicted()
--- a/packages/wheatslip/wheatslip/admission/closures.py
+++ b/packages/wheatslip/wheatslip/admission/closures.py
@@ -26,8 +26,8 @@
 class ClosedBy(StrEnum):
     """A reason for which a gate is closed, the one that is named first at the top."""
 
-    # Until the zone drains are known the zone may be drained, so callers hear the same as if it
-    # were: another zone serves them.
+    # The zone may be drained, so callers get the same answer, byte for byte, as if
+    # it were; another zone serves them.
     ZONE_UNKNOWN = "zone-unknown"
     ZONE_DRAINED = "zone-drained"
     SERVER_UNKNOWN = "server-unknown"
@@ -36,7 +36,7 @@
 
     @property
     def refusal(self) -> NotRun:
-        """What an arrival hears."""
+        """The refusal of an arrival."""
         return _REFUSALS[self]
 
 
@@ -65,5 +65,5 @@
 
     @property
     def refusal(self) -> NotRun | None:
-        """What an arrival hears, None while the gate is open."""
+        """The refusal of an arrival, None while the gate is open."""
         return self.holding[0].refusal if self.holding else None
--- a/packages/wheatslipd/wheatslipd/gate/backendhead.py
+++ b/packages/wheatslipd/wheatslipd/gate/backendhead.py
@@ -25,7 +25,7 @@
 
 
 def named_headers(names: HeaderNames, call: Call, now: float, server: str) -> Headers:
-    """What a server behind routes is told; `server` is its registered id, empty if none."""
+    """Headers for a server behind routes; `server` is its registered id, empty if none."""
     headers: Headers = []
     if names.deadline:
         headers.append((names.deadline, b"%d" % _milliseconds_left(call, now)))
@@ -35,7 +35,7 @@
 
 
 def wheatslip_headers(call: Call, now: float) -> Headers:
-    """What a server that knows wheatslip is told."""
+    """Headers for a server that knows wheatslip."""
     headers = [
         (b"wheatslip-workspace", call.workspace.encode()),
         (DEADLINE_HEADER, b"%d" % _milliseconds_left(call, now)),
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -98,10 +98,10 @@
             in_flight=admission.in_flight,
             queued=admission.queued,
             limit=admission.reported_limit(now),
-            service=round(admission.usual_service(now), 4),
+            service=round(admission.timing.usual_service(now), 4),
             version=self._view.version,
             leaving=self.is_closed_by(ClosedBy.SERVER_LEAVES),
-            slowness=round(admission.slowness, 2),
+            slowness=round(admission.timing.slowness, 2),
         )
 
     def is_closed_by(self, reason: ClosedBy) -> bool:
@@ -172,18 +172,18 @@
 
     def learn(self, load: BackendLoad) -> None:
         """The backend server reports its load."""
-        if load.slowness != self.admission.slowness and logs.is_enabled(LogLevel.DEBUG):
+        if load.slowness != self.admission.timing.slowness and logs.is_enabled(LogLevel.DEBUG):
             logs.debug(
                 "slowness",
                 now=load.slowness,
-                before=self.admission.slowness,
+                before=self.admission.timing.slowness,
                 in_flight=self.admission.in_flight,
                 queued=self.admission.queued,
                 running=load.running,
                 waiting=load.waiting,
             )
         self.load_reported_at = self._clock()
-        self.admission.learn_speed(load.slowness, self.load_reported_at)
+        self.admission.timing.learn_speed(load.slowness, self.load_reported_at)
         if self.admission.timing.is_slow:
             self.needs_probe.set()
             self._send_elsewhere()
@@ -192,18 +192,18 @@
 
     def learn_no_load(self) -> None:
         """The backend server answered without reporting its load, so it may never report it."""
-        if not self.admission.is_speed_known:
+        if not self.admission.timing.is_speed_known:
             self.assume_usual_speed()
 
     def assume_usual_speed(self) -> None:
         """The backend server does not report its speed, so it counts as usual."""
-        self.admission.is_speed_known = True
-        self.admission.slowness = 1.0
+        self.admission.timing.is_speed_known = True
+        self.admission.timing.slowness = 1.0
         self._no_longer_slow()
 
     def speed_unknown(self) -> None:
         """Another backend server has come: its speed is not known until it reports."""
-        self.admission.forget_speed()
+        self.admission.timing.forget_speed()
         self.needs_probe.set()
 
     def learn_cold(self, remaining: float) -> None:
@@ -228,7 +228,7 @@
         now = self._clock()
         if admission.cold.is_assumed(now):
             return True
-        if not admission.is_speed_known or admission.queued:
+        if not admission.timing.is_speed_known or admission.queued:
             return True
         if self.is_closed_by(ClosedBy.SERVER_LOST):
             return True
@@ -259,7 +259,7 @@
         future: asyncio.Future[NotRun | None] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
         self._plan_cold_start()
-        longest = self.admission.latest_start(ticket.call, now) - now
+        longest = self.admission.timing.latest_start(ticket.call, now) - now
         try:
             async with asyncio.timeout(max(0.0, longest)):
                 refusal = await future
@@ -315,7 +315,7 @@
             worked=worked,
             waited=round(ticket.started - ticket.arrived, 4),
             took=round(now - ticket.started, 4),
-            slowness=f"{ticket.slowness}:{self.admission.slowness}",
+            slowness=f"{ticket.slowness}:{self.admission.timing.slowness}",
             target_left=round(call.target - now, 3),
             in_flight=self.admission.in_flight,
         )
--- a/packages/wheatslipd/wheatslipd/gate/keyguard.py
+++ b/packages/wheatslipd/wheatslipd/gate/keyguard.py
@@ -13,7 +13,7 @@
 @dataclass(slots=True)
 class KeyGuard:
     """Decides whether a call bound by its key may run here. `unix` is the clock, in seconds;
-    `list_checked` tells when the list of instances was last checked, by the same clock.
+    `list_checked` returns when the list of instances was last checked, by the same clock.
     """
 
     name: str
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -223,7 +223,7 @@
                     self._backend_head(passage),
                     passage.exchange.body,
                     (echo, request_id) if echo and request_id else None,
-                    # Whoever sends the same key meanwhile hears that it runs, so the
+                    # The same key sent again meanwhile is refused as running, so the
                     # connection may take all the time that is left.
                     remaining if passage.call.runs_once_by_key else 0.0,
                 )
--- a/packages/wheatslipd/wheatslipd/gate/speedcheck.py
+++ b/packages/wheatslipd/wheatslipd/gate/speedcheck.py
@@ -25,7 +25,7 @@
 # measured.
 REQUEST_TIMEOUT = 0.02
 # Seconds without probes for requests after one that was not answered in time: less holds up
-# more requests in vain, more starts them on old reports. Chosen, not measured.
+# more requests for nothing, more starts them on old reports. Chosen, not measured.
 UNANSWERED_PAUSE = 0.5
 
 
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -53,7 +53,7 @@
 
 def test_a_slow_server_refuses_what_would_miss_its_target_while_others_are_left():
     admission = taught(Admission(AdmissionSettings(slots=4)))
-    admission.slowness = 4.0
+    admission.timing.slowness = 4.0
     refusal = admission.arrive(call(), 0.0, max_wait=0.03)
     assert isinstance(refusal, NotRun) and refusal.reason is Reason.OVERLOADED
     assert admission.arrive(call(target=0.6), 0.0, max_wait=0.03).started is not None
@@ -85,7 +85,7 @@
 
 def test_what_waited_in_vain_starts_on_a_slow_server_only_if_it_comes_little_late():
     admission = busy(taught(Admission(AdmissionSettings(slots=6))))
-    admission.slowness = 4.0
+    admission.timing.slowness = 4.0
     close = admission.arrive(call(target=0.45, hold=0.1), 0.0)
     far = admission.arrive(call(target=0.2, hold=0.05), 0.0)
     assert close.started is None and far.started is None
@@ -96,7 +96,7 @@
 
 def test_what_waited_in_vain_starts_late_if_its_caller_waits_much_longer_than_its_target():
     admission = busy(taught(Admission(AdmissionSettings(slots=5)), took=0.06))
-    admission.slowness = 4.0
+    admission.timing.slowness = 4.0
     patient = admission.arrive(call(target=0.16, hold=0.04, deadline=0.8), 0.0)
     hurried = admission.arrive(call(target=0.16, hold=0.04, deadline=0.4), 0.0)
     assert admission.expire(patient, 0.04) and patient.started is not None
@@ -107,11 +107,11 @@
     """A look-up that a request made: refused, it would fail that request for a free slot."""
     for running, starts in ((2, True), (3, False)):
         admission = busy(taught(Admission(AdmissionSettings(slots=4)), took=0.055), running)
-        admission.slowness = 4.0
+        admission.timing.slowness = 4.0
         lookup = admission.arrive(call(target=0.15, hold=0.04, deadline=0.5), 0.0)
         assert admission.expire(lookup, 0.04) is starts
     admission = taught(Admission(AdmissionSettings(slots=4)), took=0.12)
-    admission.slowness = 4.0
+    admission.timing.slowness = 4.0
     hopeless = admission.arrive(call(target=0.15, hold=0.04, deadline=0.5), 0.0)
     assert isinstance(hopeless, NotRun) or not admission.expire(hopeless, 0.04)
 
@@ -140,10 +140,10 @@
     admission = taught(Admission(AdmissionSettings(slots=1)))
     admission.arrive(call(), 0.0)
     waiting = call(target=0.4, hold=0.4)
-    assert abs(admission.latest_start(waiting, 0.0) - 0.28) < 0.01
+    assert abs(admission.timing.latest_start(waiting, 0.0) - 0.28) < 0.01
     # On a slow server it is held for as long as a fast one could still make it.
-    admission.slowness = 4.0
-    assert abs(admission.latest_start(waiting, 0.0) - 0.28) < 0.01
+    admission.timing.slowness = 4.0
+    assert abs(admission.timing.latest_start(waiting, 0.0) - 0.28) < 0.01
 
 
 def test_kinds_of_one_server_are_told_apart_by_what_they_take():
@@ -151,7 +151,7 @@
     short = RequestKind("short", repeatable=True)
     ticket = admission.arrive(call(kind=short), 0.0)
     admission.finish(ticket, 0.02, worked=True)
-    admission.slowness = 4.0
+    admission.timing.slowness = 4.0
     assert isinstance(admission.arrive(call(), 0.0, max_wait=0.03), NotRun)
     assert admission.arrive(call(kind=short), 0.0, max_wait=0.03).started is not None
 
@@ -171,27 +171,27 @@
     admission = taught(Admission(AdmissionSettings(slots=4)), took=0.1)
     for _ in range(20):
         ticket = admission.arrive(call(), 0.0)
-        admission.slowness = 4.0  # it was slow already, and told it with its answer
+        admission.timing.slowness = 4.0  # it was slow already, and told it with its answer
         admission.finish(ticket, 0.4, worked=True)
-        admission.slowness = 1.0
-    assert admission.usual_service(0.0) == 0.1
+        admission.timing.slowness = 1.0
+    assert admission.timing.usual_service(0.0) == 0.1
 
 
 def test_a_speed_that_wavers_a_little_still_teaches():
     admission = taught(Admission(AdmissionSettings(slots=4)), took=0.1)
     for _ in range(100):
         ticket = admission.arrive(call(), 0.0)
-        admission.slowness = 1.1
+        admission.timing.slowness = 1.1
         admission.finish(ticket, 0.2, worked=True)
-        admission.slowness = 1.0
-    assert admission.usual_service(0.0) > 0.15
+        admission.timing.slowness = 1.0
+    assert admission.timing.usual_service(0.0) > 0.15
 
 
 def test_a_server_that_never_tells_its_load_counts_as_usual():
     one, _ = gate()
     one.speed_unknown()
     one.learn_no_load()
-    assert one.admission.is_speed_known and not one.needs_probe.is_set()
+    assert one.admission.timing.is_speed_known and not one.needs_probe.is_set()
 
 
 def test_what_waits_at_a_server_that_turns_slow_goes_elsewhere_at_once():
--- a/test/test_recoveryprobe.py
+++ b/test/test_recoveryprobe.py
@@ -118,7 +118,7 @@
     now = clock()
     ticket = gate.admission.arrive(one_call(now), now)
     gate.admission.finish(ticket, now + 0.2, worked=True)
-    gate.admission.learn_speed(1.0, now - 10.0)
+    gate.admission.timing.learn_speed(1.0, now - 10.0)
     return gate, clock
 
 
@@ -181,7 +181,7 @@
         ticket = await gate.enter(one_call(clock()), 0.06)
         assert ticket.started is not None
         assert len(backend.heads) == 1 and not backend.given_up  # the question goes on
-        gate.admission.learn_speed(1.0, clock() - 10.0)
+        gate.admission.timing.learn_speed(1.0, clock() - 10.0)
         await gate.enter(one_call(clock()), 0.06)
         assert len(backend.heads) == 1  # it is left alone for a while
 
@@ -193,7 +193,7 @@
         backend = TellingBackend(100)
         gate, clock = checked_gate(backend, per_second=3.0)
         for _ in range(4):
-            gate.admission.learn_speed(1.0, clock() - 10.0)
+            gate.admission.timing.learn_speed(1.0, clock() - 10.0)
             ticket = await gate.enter(one_call(clock()), 0.06)
             gate.leave(ticket, worked=False)
         assert backend.asked == 3
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -96,7 +96,7 @@
 
 def test_asking_gains_with_the_age_of_the_last_word():
     admission = taught({VIEW: 0.2})
-    admission.learn_speed(1.0, 1.0)
+    admission.timing.learn_speed(1.0, 1.0)
     gains = [admission.gain_of_probing(call(now=now), now) for now in (1.0, 1.02, 1.2)]
     assert gains[0] == 0.0
     assert 0.0 < gains[1] < gains[2] < 1.0
@@ -104,20 +104,20 @@
 
 def test_asking_gains_nothing_for_work_that_meets_its_target_on_a_slow_server_too():
     admission = taught({VIEW: 0.2, SHORT: 0.02})
-    admission.learn_speed(1.0, 1.0)
+    admission.timing.learn_speed(1.0, 1.0)
     assert admission.gain_of_probing(call(SHORT, now=1.5), 1.5) == 0.0
     assert admission.gain_of_probing(call(VIEW, now=1.5), 1.5) > 0.0
 
 
 def test_asking_gains_nothing_for_work_that_is_late_anyway():
     admission = taught({VIEW: 0.2})
-    admission.learn_speed(1.0, 1.0)
+    admission.timing.learn_speed(1.0, 1.0)
     assert admission.gain_of_probing(call(target=0.1, now=1.5), 1.5) == 0.0
 
 
 def test_asking_gains_nothing_for_what_has_to_wait_or_to_go():
     admission = taught({VIEW: 0.2})
-    admission.learn_speed(1.0, 0.5)
+    admission.timing.learn_speed(1.0, 0.5)
     running = [admission.arrive(call(now=0.9), 0.9) for _ in range(4)]
     assert admission.gain_of_probing(call(now=1.0), 1.0) == 0.0
     admission.finish(running[0], 1.0, worked=False)
@@ -130,7 +130,7 @@
 
 def test_asking_a_server_told_slow_gains_at_most_what_a_refusal_costs():
     admission = taught({VIEW: 0.2})
-    admission.learn_speed(5.0, 1.0)
+    admission.timing.learn_speed(5.0, 1.0)
     assert admission.gain_of_probing(call(now=1.0), 1.0) == pytest.approx(0.0)
     later = admission.gain_of_probing(call(now=1.5), 1.5)
     assert 0.0 < later <= REFUSAL_LOSS
@@ -138,10 +138,10 @@
 
 def test_of_a_new_server_nothing_is_known_so_asking_gains_most():
     admission = taught({VIEW: 0.2})
-    admission.learn_speed(1.0, 1.0)
-    admission.forget_speed()
+    admission.timing.learn_speed(1.0, 1.0)
+    admission.timing.forget_speed()
     fresh = admission.gain_of_probing(call(now=1.01), 1.01)
-    admission.learn_speed(1.0, 1.0)
+    admission.timing.learn_speed(1.0, 1.0)
     assert fresh > admission.gain_of_probing(call(now=1.01), 1.01)
 
 
@@ -164,12 +164,12 @@
     """One that has just started works at half its speed, and has slow spells besides."""
     admission = taught({VIEW: 0.2})
     for tick in range(20):
-        admission.learn_speed(2.0, 1.0 + tick * 0.05)
+        admission.timing.learn_speed(2.0, 1.0 + tick * 0.05)
     now = 2.0
-    assert admission.speed.base_slowness == 2.0
+    assert admission.timing.speed.base_slowness == 2.0
     late = call(target=0.3, now=now)  # it can't be in time at this pace, and waiting won't help
     assert admission.arrive(late, now).started is not None
-    admission.learn_speed(10.0, now)
+    admission.timing.learn_speed(10.0, now)
     in_time = call(target=0.6, now=now)
     assert admission.arrive(in_time, now).started is None  # the stretch will be over soon
 
@@ -177,7 +177,7 @@
 def test_the_gain_of_asking_counts_from_the_pace_of_the_server():
     admission = taught({VIEW: 0.2})
     for tick in range(20):
-        admission.learn_speed(2.0, 1.0 + tick * 0.05)
+        admission.timing.learn_speed(2.0, 1.0 + tick * 0.05)
     assert admission.gain_of_probing(call(now=2.2), 2.2) > 0.05
 
 
