--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -26,6 +26,7 @@
 - Always: the request can still be sent whole (`can_resend`), fewer than `MAX_TRIES` tries were
   made, and an upstream is left. A call bound by its key has one try. The forwarder makes no
   other try once a part of an answer went to the caller.
+- Where the answer of the first row gets no other try, it goes to the caller.
 - A bounce is the refusal of a gate where the call would wait longer than the try's `max_wait`.
 
 What is reported: the outcome of the last try; but where that try was not run and an earlier one
--- a/packages/wheatslip/wheatslip/budget.py
+++ b/packages/wheatslip/wheatslip/budget.py
@@ -2,7 +2,7 @@
 
 A budget earns a part of a token for each request and pays one for each further send, so that
 retries stay a fixed share of live traffic, also when everything fails. Where the operator sets
-a `FleetBudget`, the same share is kept in any window, over all daemons together.
+a `FleetBudget`, its bound holds instead: in any window, over all daemons together.
 """
 
 from collections import deque
@@ -126,7 +126,7 @@
         started: float = 0.0,
     ):
         """With `fleet` its bound holds over as many daemons as `members` returns, for all
-        workspaces together; `started` is when this daemon began to listen.
+        workspaces together; `started` is when this daemon started (seconds, monotonic).
         """
         self._share = share
         self._fleet = fleet
--- a/packages/wheatslipd/wheatslipd/http/client.py
+++ b/packages/wheatslipd/wheatslipd/http/client.py
@@ -47,23 +47,23 @@
     def __init__(self) -> None:
         super().__init__()
         self._parser = httptools.HttpResponseParser(self)
-        self._method = b""
+        self._method = b""  # of the present request
         self._response: asyncio.Future[Response] | None = None
-        self._continue: asyncio.Future[bool] | None = None
-        self._body: Body | None = None
-        self._busy = False
-        self._sent_all = True
-        self._reusable = True
-        self._until_close = False
-        self._echo: tuple[bytes, bytes] | None = None
-        self._skipping = False
+        self._continue: asyncio.Future[bool] | None = None  # see `wait_continue`
+        self._body: Body | None = None  # of the response, once its head has come
+        self._busy = False  # whether a response, or the rest of one, is still to come
+        self._sent_all = True  # whether the present request is sent to its end
+        self._reusable = True  # False for good once the two ends may no longer agree
+        self._until_close = False  # whether the response's body ends with the connection
+        self._echo: tuple[bytes, bytes] | None = None  # see `expect_echo`
+        self._skipping = False  # whether the present response answers an earlier request
         self.timed_out = (
             False  # whether it ended because the other machine acknowledged nothing
         )
         # Whether it timed out so soon after a request that the request was not taken.
         self.request_unacknowledged = False
-        self._sent_at = 0.0
-        self.idle_since = 0.0
+        self._sent_at = 0.0  # when the present request was begun, by the loop's clock
+        self.idle_since = 0.0  # by the loop's clock; set by the pool
         self.rested = 0.0  # seconds that it had been idle when it was taken last; 0 if new
 
     @property
--- a/packages/wheatslipd/wheatslipd/http/exchange.py
+++ b/packages/wheatslipd/wheatslipd/http/exchange.py
@@ -27,12 +27,12 @@
     head: RequestHead
     body: Body
     expects_continue: bool
-    started: bool = False
-    finished: bool = False
+    started: bool = False  # whether a response has begun
+    finished: bool = False  # whether the response is whole
     _chunked: bool = False
-    _bodyless: bool = False
-    _held: list[bytes] = field(default_factory=list)
-    _held_size: int = 0
+    _bodyless: bool = False  # the response has no body, whatever its headers say
+    _held: list[bytes] = field(default_factory=list)  # what `flush` will send
+    _held_size: int = 0  # bytes
 
     async def send_continue(self) -> None:
         """Ask the sender for its body, if it waits for a 100 (Continue)."""
--- a/packages/wheatslipd/wheatslipd/http/server.py
+++ b/packages/wheatslipd/wheatslipd/http/server.py
@@ -34,15 +34,15 @@
         self._handler = handler
         self._connections = connections
         self._parser = httptools.HttpRequestParser(self)
-        self._target = b""
-        self._waiting: deque[Exchange] = deque()
-        self._current: Exchange | None = None
-        self._incoming: Exchange | None = None
-        self._task: asyncio.Task[None] | None = None
-        self._failed_status = 0
-        self._broken: Exchange | None = None
-        self._fed_in_head = 0
-        self.idle_since = 0.0
+        self._target = b""  # of the head that is coming in
+        self._waiting: deque[Exchange] = deque()  # whole heads, behind the present request
+        self._current: Exchange | None = None  # the request that the handler works on
+        self._incoming: Exchange | None = None  # the request whose body is coming in
+        self._task: asyncio.Task[None] | None = None  # runs the handler
+        self._failed_status = 0  # HTTP status for what could not be parsed; 0: all could
+        self._broken: Exchange | None = None  # the request whose body could not be parsed
+        self._fed_in_head = 0  # bytes that came while a head was incomplete
+        self.idle_since = 0.0  # by the loop's clock
 
     @property
     def idle(self) -> bool:
@@ -138,7 +138,7 @@
         if self._current is not None or self.closed:
             return
         if not self._waiting:
-            self._rest()
+            self._end_or_wait()
             return
         self._current = self._waiting.popleft()
         if len(self._waiting) == MAX_PIPELINED:
@@ -148,7 +148,7 @@
     async def _run(self, exchange: Exchange) -> None:
         if self._failed_status and exchange is self._broken:
             self._current = None
-            self._rest()
+            self._end_or_wait()
             return
         try:
             await self._handler(exchange)
@@ -170,7 +170,8 @@
         else:
             self._next()
 
-    def _rest(self) -> None:
+    def _end_or_wait(self) -> None:
+        """All requests are answered: refuse what could not be parsed, or wait for the next."""
         if self._failed_status:
             head = ResponseHead(self._failed_status, [(b"content-length", b"0")])
             head.headers.append((b"wheatslip-outcome", b"not-run; bad-request"))
@@ -181,6 +182,7 @@
         self._watch_idle()
 
     def _fail(self, status: int) -> None:
+        """Parse no more; answer with `status` after the requests that came before."""
         self._failed_status = status
         self._broken = self._incoming
         if self._incoming is not None:
@@ -188,6 +190,7 @@
         self._next()
 
     def _check_head_size(self, fed: int) -> None:
+        """Bound a head that never ends: the parser reports headers only when they are whole."""
         if self._incoming is None and self._in_head:
             self._fed_in_head += fed
             if self._fed_in_head > 2 * MAX_HEAD_BYTES and self.idle:
