--- a/test/helper.py
+++ b/test/helper.py
@@ -1,7 +1,8 @@
-"""The shared helper of the tests: an installation inside one process, and small makers.
+"""The shared helper of the tests: daemons inside the test's process, and small makers.
 
 Daemons, backend servers and the platform's stand-in run as tasks of one loop, on ports that
-the system picks; every wait is for a condition.
+the system picks; every wait is for a condition. `Installation` has wheatslip's own platform,
+`test/routed_fleet.py` the one of the adapter.
 """
 
 import asyncio
@@ -64,18 +65,6 @@
     asyncio.run(bounded())
 
 
-async def start_daemon(
-    settings: Settings, seed: int = SEED, **parts: Any
-) -> tuple[Daemon, asyncio.Task[int]]:
-    """Start a daemon as a task of this loop; returns both once it listens. `parts` are passed
-    on to `Daemon`.
-    """
-    daemon = Daemon(settings, Random(seed), **parts)
-    task = asyncio.create_task(daemon.run())
-    await daemon.listening.wait()
-    return daemon, task
-
-
 @dataclass(slots=True)
 class ShiftedClock:
     """Unix time that a test moves; daemons start in its past, so that keys made now are
@@ -97,6 +86,33 @@
     }
 
 
+@dataclass(kw_only=True)
+class InProcess:
+    """Daemons by name, each a task of this loop."""
+
+    daemons: dict[str, Daemon] = field(default_factory=dict)
+    tasks: dict[str, asyncio.Task[int]] = field(default_factory=dict)
+
+    async def start_daemon(self, settings: Settings, seed: int = SEED, **parts: Any) -> Daemon:
+        """Start a daemon, in place of one of that name; returns when it listens.
+
+        `parts` are passed on to `Daemon`.
+        """
+        daemon = self.daemons[settings.name] = Daemon(settings, Random(seed), **parts)
+        self.tasks[settings.name] = asyncio.create_task(daemon.run())
+        await daemon.listening.wait()
+        return daemon
+
+    async def stop(self, name: str) -> int:
+        """Stop a daemon; returns its exit code."""
+        self.daemons.pop(name).stop()
+        return await self.tasks.pop(name)
+
+    async def stop_all(self) -> None:
+        """Stop all daemons at once."""
+        await asyncio.gather(*(self.stop(name) for name in list(self.daemons)))
+
+
 @dataclass(slots=True)
 class Node:
     """A backend server with its daemon."""
@@ -113,8 +129,8 @@
         return self.instance.entry_port
 
 
-@dataclass(slots=True)
-class Installation:
+@dataclass
+class Installation(InProcess):
     """Use with `async with`; starts the platform's stand-in and the operators' keys."""
 
     folder: Path
@@ -137,9 +153,7 @@
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        for node in self.nodes.values():
-            node.daemon.stop()
-        await asyncio.gather(*(node.task for node in self.nodes.values()))
+        await self.stop_all()
         for node in self.nodes.values():
             await node.backend.server.stop(0.0)
         await self.client.close()
@@ -166,9 +180,9 @@
             f"[operators]\nkeyring = {self.folder}\n",
             name,
         ).unwrap()
-        daemon, task = await start_daemon(settings, unix=self.clock)
+        daemon = await self.start_daemon(settings, unix=self.clock)
         instance = Instance(name, pool, zone, HOST, **ports_of(daemon))
-        node = Node(instance, backend, daemon, task)
+        node = Node(instance, backend, daemon, self.tasks[name])
         self.nodes[name] = node
         await self.list_instance(node, InstanceState.LIVE)
         return node
@@ -178,12 +192,12 @@
         it listens.
         """
         before = self.nodes[name]
-        daemon, task = await start_daemon(before.daemon.settings, unix=self.clock)
+        daemon = await self.start_daemon(before.daemon.settings, unix=self.clock)
         incarnation = before.instance.incarnation + 1
         instance = msgspec.structs.replace(
             before.instance, incarnation=incarnation, **ports_of(daemon)
         )
-        node = Node(instance, before.backend, daemon, task, before.listed_version)
+        node = Node(instance, before.backend, daemon, self.tasks[name], before.listed_version)
         self.nodes[name] = node
 
         async def has_read_the_list() -> bool:
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 from wheatslip.admission import ClosedBy
-from wheatslipd.daemon import Adapters, Daemon
+from wheatslipd.daemon import Adapters
 from wheatslipd.settings import parse_settings
 
 from fleet_adapter.heartbeats import decode_heartbeat
@@ -16,7 +16,7 @@
 from standins.cluster import HOST, eventually
 from standins.link import NarrowLink
 from standins.plainbackend import PlainBackend
-from test.helper import start_daemon
+from test.helper import InProcess
 
 SETTINGS = """
 [daemon]
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class Fleet:
+class Fleet(InProcess):
     """Daemons with their servers, on one store. `link_bytes` bounds what the link of a daemon
     to the store carries a second; with `has_doors` each daemon without such a link reaches the
     store through a door of its own. Daemons that `zones` does not name are in zone one.
@@ -94,9 +94,7 @@
 
     store: StoreStandIn
     session: aiohttp.ClientSession
-    daemons: dict[str, Daemon] = field(default_factory=dict)
     backends: dict[str, PlainBackend] = field(default_factory=dict)
-    tasks: dict[str, asyncio.Task] = field(default_factory=dict)
     settle: str = "0s"
     watch: str = "1s"
     watch_check: str = "0s"
@@ -130,9 +128,7 @@
         )
         settings = parse_settings(text, name).unwrap()
         adapters = Adapters(FleetStore(store), decode_heartbeat)
-        self.daemons[name], self.tasks[name] = await start_daemon(
-            settings, seed=3, adapters=adapters
-        )
+        await self.start_daemon(settings, seed=3, adapters=adapters)
 
     async def _store_port(self, name):
         """Where a daemon finds the store: behind its link or its door, if it has one."""
@@ -149,10 +145,6 @@
             return self.doors[name].server.port
         return self.store.server.port
 
-    async def stop(self, name):
-        self.daemons.pop(name).stop()
-        await self.tasks.pop(name)
-
     async def beat(self, name, sequence, state="ready", server=None):
         backend = self.backends[name]
         body = {
@@ -223,8 +215,7 @@
             await one.ready()
         yield one
     finally:
-        for name in list(one.daemons):
-            await one.stop(name)
+        await one.stop_all()
         for backend in one.backends.values():
             await backend.server.stop(0.0)
         for link in one.links.values():
