--- a/packages/wheatslip/wheatslip/config/drainrequests.py
+++ b/packages/wheatslip/wheatslip/config/drainrequests.py
@@ -14,7 +14,7 @@
         self._store = store
 
     async def drain(self, drain: ZoneDrain) -> Result[ZoneDrain, Unavailable]:
-        """Ask that a zone be emptied. One that is emptied already stays as it was asked for."""
+        """Ask for the drain of a zone. One that exists already stays and is returned."""
         value = StoredDrain(drain.asked_by, drain.since, drain.signature)
         answer = await self._store.put(ZONE_DRAIN_KIND, drain.zone, value, expected=0)
         match answer:
@@ -41,11 +41,11 @@
         return Err(Unavailable(f"the drain of {zone} changed while it was taken back"))
 
     async def listed(self) -> Result[list[ZoneDrain], Unavailable]:
-        """All emptied zones."""
+        """The drains of all zones."""
         answer = await self._store.list(ZONE_DRAIN_KIND)
         return answer.map(lambda listing: [_readable(item) for item in listing.items])
 
 
 def _readable(item: StoredObject) -> ZoneDrain:
-    """The drain that stands in an object; a bare one if it can't be read."""
+    """The drain in an object; one with the zone's name alone if it can't be read."""
     return decode_drain(item.name, msgspec.Raw(item.value)).unwrap_or(ZoneDrain(item.name))
--- a/packages/wheatslip/wheatslip/store/objects.py
+++ b/packages/wheatslip/wheatslip/store/objects.py
@@ -115,14 +115,14 @@
 ) -> AsyncIterator[Listing]:
     """Every state of a kind from now on without a gap: a full listing, then changes.
 
-    After a version that is too old, or a new start of the platform, it lists again. After
-    each change it rests for `pause` seconds, so that many changes come as one. With `since`
-    the listing of that version is known already; what has changed since is told at once.
+    When the platform does not keep the version any more it lists again. After each change it
+    rests for `pause` seconds, so that many changes come as one. With `since` the listing of
+    that version is known already, and what has changed since comes without a wait.
     """
     backoff = Backoff(rng, last=backoff_last)
     version = since
-    # A watch hears nothing from a platform that is silent, so after a failure it does not wait:
-    # it must not be held when the platform is back.
+    # After a failure the next watch does not wait for changes: its answer shows at once that
+    # the platform is back.
     wait_now = wait if since is None else 0.0
     while True:
         if version is None:
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -56,14 +56,14 @@
             listed = {instance.name for instance in instances}
             gone = tuple(name for name in self._peers if name not in listed)
         for name in gone:
-            self._miss(name)
+            self._on_missing(name)
         for instance in instances:
-            self._find(instance.name)
+            self._stop_grace(instance.name)
             self._update(instance)
         self._has_list = True
         self._publish()
 
-    def _miss(self, name: str) -> None:
+    def _on_missing(self, name: str) -> None:
         """An entry vanished: remove its peer, at once or after the grace."""
         peer = self._peers.get(name)
         if peer is None or name in self._missing:
@@ -74,16 +74,16 @@
             return
         logs.info("entry-missing", name=name, grace=LAPSE_GRACE)
         loop = asyncio.get_running_loop()
-        self._missing[name] = loop.call_later(LAPSE_GRACE, self._take_as_gone, name)
+        self._missing[name] = loop.call_later(LAPSE_GRACE, self._remove_missing, name)
 
-    def _find(self, name: str) -> None:
-        """An entry is listed, perhaps again."""
+    def _stop_grace(self, name: str) -> None:
+        """The entry is listed again, or its peer is removed: end the grace, if one runs."""
         timer = self._missing.pop(name, None)
         if timer is not None:
             timer.cancel()
 
-    def _take_as_gone(self, name: str) -> None:
-        """An entry is still missing after the grace."""
+    def _remove_missing(self, name: str) -> None:
+        """The entry is still missing after the grace."""
         logs.info("entry-gone", name=name)
         self._remove(name)
         self._publish()
@@ -125,7 +125,7 @@
         return Peer(instance, upstream, connections)
 
     def _remove(self, name: str) -> None:
-        self._find(name)
+        self._stop_grace(name)
         peer = self._peers.pop(name, None)
         if peer is not None:
             peer.connections.close()
