--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -101,12 +101,7 @@
             if change.version < self.version_of(change.name):
                 continue
             taken.append(change)
-            if change.instance is None:
-                self.instances.pop(change.name, None)
-                self._versions.pop(change.name, None)
-            else:
-                self.instances[change.name] = change.instance
-                self._versions[change.name] = change.version
+            self._apply(change)
             if not whole:
                 self._note(change)
         self.listed = listed
@@ -193,7 +188,16 @@
             return ()
         return tuple(chain)
 
+    def _apply(self, change: ListChange) -> None:
+        if change.instance is None:
+            self.instances.pop(change.name, None)
+            self._versions.pop(change.name, None)
+        else:
+            self.instances[change.name] = change.instance
+            self._versions[change.name] = change.version
+
     def _note(self, change: ListChange) -> None:
+        """Keep a change for followers; the oldest one gives way."""
         if len(self._changes) == self._changes.maxlen:
             self._complete_since = self._changes[0].version
         self._changes.append(change)
