--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -1,11 +1,11 @@
 """The peer port: the only way to the local backend server.
 
-Takes forwarded requests from entries, checks them as outside input, and lets each through
-the key ledger and the gate to the backend server.
+It takes requests that entries forward, checks them as outside input, and passes each through
+the key guard and the gate to the backend server. Every answer carries the gate's load report.
 """
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
 from wheatslip.admission import Ticket
@@ -45,7 +45,7 @@
 # Bytes of a body that are waited for before a request takes a slot: less lets slow bodies hold
 # slots, more holds memory for each request. As much as an entry sends ahead.
 BODY_HOLD = 64 * 1024
-MISDIRECTED = 421  # HTTP status of a server that is not the one that is meant
+MISDIRECTED = 421  # HTTP status by which a server says that the request is for another one
 
 
 @dataclass(slots=True, eq=False)
@@ -123,24 +123,11 @@
         hop = decode_hop(exchange.head.get(HOP_HEADER) or b"")
         if hop is None or (hop.key and key_time(hop.key) is None):
             return NotRun(Reason.BAD_REQUEST)
-        kind = RequestKind(
-            hop.kind, hop.repeatable, CallClass.URGENT if hop.urgent else CallClass.NORMAL
-        )
-        now = self._clock()
-        call = Call(
-            hop.workspace,
-            hop.service,
-            kind,
-            now + hop.remaining,
-            hop.key,
-            hop.depth,
-            target=_moment(now, hop.target),
-            hold_until=_moment(now, hop.hold),
-            request_id=(exchange.head.get(self._names.request_id) or b"").decode("latin-1"),
-        )
+        request_id = exchange.head.get(self._names.request_id) or b""
+        call = _call_of(hop, self._clock(), request_id.decode("latin-1"))
         if not exchange.expects_continue:
             try:
-                # A slot is for work, not for a body on its way.
+                # The body is waited for before the request takes a slot.
                 await exchange.body.hold_up_to(BODY_HOLD)
             except BodyBroken:
                 return Unknown(Reason.CANCELLED)
@@ -156,8 +143,8 @@
         """A refusal if the entry decided by a list or configuration that is out of date."""
         if not self._terms.by_routes:
             return await self._check_version(hop.version, exchange)
-        # The entry has decided by its routes, so the version here does not matter; but the
-        # address may have gone to another pool since the entry's list.
+        # The entry decided by its routes, so the version here does not matter. But a daemon of
+        # another pool may have taken over this address since the entry read the list.
         if hop.service != self._terms.pool:
             return NotRun(Reason.WRONG_POOL)
         if hop.version > self._view.version:
@@ -217,16 +204,7 @@
             remaining = passage.call.remaining(self._clock())
             async with asyncio.timeout(max(0.0, remaining)):
                 await passage.exchange.send_continue()
-                echo = self._names.request_id
-                request_id = passage.call.request_id.encode("latin-1")
-                answer = await self._backend.send(
-                    self._backend_head(passage),
-                    passage.exchange.body,
-                    (echo, request_id) if echo and request_id else None,
-                    # The same key sent again meanwhile is refused as running, so the
-                    # connection may take all the time that is left.
-                    remaining if passage.call.runs_once_by_key else 0.0,
-                )
+                answer = await self._send(passage, remaining)
             if not isinstance(answer, BackendAnswer):
                 self._gate.on_lost()
                 return answer
@@ -241,6 +219,22 @@
         finally:
             self._gate.leave(ticket, worked=worked)
 
+    def _send(
+        self, passage: _Passage, remaining: float
+    ) -> Awaitable[BackendAnswer | NotRun | Unknown]:
+        """Send the request to the backend server; `remaining` seconds are left for it."""
+        call = passage.call
+        echo = self._names.request_id
+        request_id = call.request_id.encode("latin-1")
+        return self._backend.send(
+            self._backend_head(passage),
+            passage.exchange.body,
+            (echo, request_id) if echo and request_id else None,
+            # The same key sent again meanwhile is refused as running, so the connection may
+            # take all the time that is left.
+            remaining if call.runs_once_by_key else 0.0,
+        )
+
     async def _answer(
         self, passage: _Passage, answer: BackendAnswer, kept: KeptAnswer | None
     ) -> Outcome:
@@ -300,6 +294,22 @@
         return [(LOAD_HEADER, encode(self._gate.report()))]
 
 
+def _call_of(hop: Hop, now: float, request_id: str) -> Call:
+    """The call that an entry forwards; its times begin when its head is read."""
+    call_class = CallClass.URGENT if hop.urgent else CallClass.NORMAL
+    return Call(
+        hop.workspace,
+        hop.service,
+        RequestKind(hop.kind, hop.repeatable, call_class),
+        now + hop.remaining,
+        hop.key,
+        hop.depth,
+        target=_moment(now, hop.target),
+        hold_until=_moment(now, hop.hold),
+        request_id=request_id,
+    )
+
+
 def _moment(now: float, left: float | None) -> float:
     """The moment that is `left` seconds away; never, if there is no such bound."""
     return ANY_WAIT if left is None else now + left
