--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -11,7 +11,7 @@
 
 | rule | outcome | decided by |
 |---|---|---|
-| the gate is closed | refused | `Closures` |
+| the gate is closed | refused for the first reason that holds | `ClosedBy` |
 | its deadline has passed | refused | `arrive` |
 | the server is slow, and the sender has others to try | refused, goes elsewhere | \
 `goes_elsewhere` |
@@ -130,9 +130,9 @@
 
         `max_wait`: the sender would rather try elsewhere than wait so many seconds.
         """
-        closed = self.closures.refusal
-        if closed is not None:
-            return closed
+        closed_by = self.closures.holding
+        if closed_by:
+            return closed_by[0].refusal
         if call.remaining(now) <= 0:
             return NotRun(Reason.DEADLINE)
         if goes_elsewhere(self.timing, call, max_wait, now):
--- a/packages/wheatslip/wheatslip/admission/closures.py
+++ b/packages/wheatslip/wheatslip/admission/closures.py
@@ -62,8 +62,3 @@
     def remove(self, reason: ClosedBy) -> None:
         """The reason does not hold any more, if it did."""
         self.holding = tuple(r for r in self.holding if r is not reason)
-
-    @property
-    def refusal(self) -> NotRun | None:
-        """The refusal of an arrival, None while the gate is open."""
-        return self.holding[0].refusal if self.holding else None
