--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -39,10 +39,11 @@
 
 from wheatslip.budget import Budget
 from wheatslip.call import ANY_WAIT, Call
-from wheatslip.chooser import Chooser, Upstream
+from wheatslip.chooser import Chooser
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from wheatslip.owners import owner
 from wheatslip.retryafter import NO_SERVER
+from wheatslip.upstream import Upstream
 
 # Tries of a call in all, also those that no backend server saw, which cost messages only and
 # which `Call.max_attempts` does not count. Chosen, not measured.
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -10,9 +10,9 @@
 from types import MappingProxyType
 
 from circuits import Component
-from wheatslip.chooser import Upstream
 from wheatslip.owners import OwnerHistory
 from wheatslip.store.instances import Instance, InstanceState
+from wheatslip.upstream import Upstream
 
 from wheatslipd.controllers.events import leaving, returned
 from wheatslipd.controllers.view import Membership, Peer
--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -7,11 +7,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from wheatslip.chooser import Upstream
 from wheatslip.config.bundle import Bundle, Pool, Service, Workspace
 from wheatslip.config.routes import RouteTable
 from wheatslip.config.zonedrains import ZoneDrains
 from wheatslip.store.instances import Instance
+from wheatslip.upstream import Upstream
 
 from wheatslipd.http.pool import ConnectionPool
 
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -4,8 +4,8 @@
 import json
 from random import Random
 
-from wheatslip.chooser import DEAD_AFTER, DEAD_AFTER_FAILURES
 from wheatslip.store.instances import INSTANCE_KIND
+from wheatslip.upstream import DEAD_AFTER, DEAD_AFTER_FAILURES
 from wheatslipd.registration.removal import RANK_SECONDS
 
 from fleet_adapter.wire import KINDS
