--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -67,7 +67,7 @@
         )
         access = PlatformAccess(around.store, self.intake, member.pace, rng)
         self._reader = PlatformReader(name, access)
-        self._follower = ParentFollower(self._place, self.intake, self._reader, tls, rng)
+        self._follower = ParentFollower(self._place, access, self._reader, tls)
         self.hints = Hints(name, self.relay, self.intake, self._reader, tls, rng)
         self._state_watch = StateWatch(access, self._reader)
         self._list_watch = ListWatch(access)
--- a/packages/wheatslipd/wheatslipd/feed/following.py
+++ b/packages/wheatslipd/wheatslipd/feed/following.py
@@ -2,11 +2,10 @@
 
 import asyncio
 from contextlib import aclosing, suppress
-from random import Random
 
 from wheatslip.store.instances import Instance
 
-from wheatslipd.feed.intake import Intake
+from wheatslipd.feed.access import PlatformAccess
 from wheatslipd.feed.place import Place
 from wheatslipd.feed.reader import PlatformReader
 from wheatslipd.feed.relay import follow_parent
@@ -23,17 +22,45 @@
 ROUND_PAUSE = 1.0
 
 
+def list_timeout(list_watch: float) -> float:
+    """Seconds for which a parent may send the same `checked`: two watches of the list, which
+    confirm it at their ends, beside the time of the way. Chosen, not measured.
+    """
+    return STALE_TIMEOUT + 2 * list_watch
+
+
+class Progress:
+    """Whether a time that a parent sends still grows."""
+
+    def __init__(self, timeout: float, now: float):
+        """`timeout`: seconds without growth after which it is stale."""
+        self._timeout = timeout
+        self._latest = 0.0
+        self._latest_at = now
+
+    def take(self, value: float, now: float) -> None:
+        """Take the time in an update that came now."""
+        if value > self._latest:
+            self._latest = value
+            self._latest_at = now
+
+    def is_stale(self, now: float) -> bool:
+        """Whether it has not grown for longer than the time-out."""
+        return now - self._latest_at > self._timeout
+
+
 class ParentFollower:
     """Follows the parents of one daemon."""
 
     def __init__(
-        self, place: Place, intake: Intake, reader: PlatformReader, tls: PeerTls, rng: Random
+        self, place: Place, access: PlatformAccess, reader: PlatformReader, tls: PeerTls
     ):
         self._place = place
-        self._intake = intake
+        self._intake = access.intake
+        self._list_watch = access.pace.list_watch
+        self._rng = access.rng
         self._reader = reader
         self._tls = tls
-        self._rng = rng
         self.parent = ""  # the daemon that is followed now; empty: none
 
     async def run(self) -> None:
@@ -102,24 +129,29 @@
         return bool(had_news)
 
     async def _read(self, parent: Instance) -> bool:
-        """Take a parent's updates until it fails or its `as_of` is stale; whether it had news.
+        """Take a parent's updates until it fails or has become stale; whether it had news.
 
         `as_of` stands still when the platform does not answer the watchers from which the
-        parent has its news, or when daemons follow each other in a circle.
+        parent has its news, or when daemons follow each other in a circle. A watcher without
+        the watch of the list needs a parent for the list alone, so `checked` counts there: two
+        such watchers that follow each other confirm the head by themselves, and never the list.
         """
         loop = asyncio.get_running_loop()
+        needs_list = self._place.watches and not self._place.watches_list
+        head = Progress(STALE_TIMEOUT, loop.time())
+        listed = Progress(list_timeout(self._list_watch), loop.time())
         had_news = False
-        latest = 0.0  # the latest `as_of` of the parent
-        latest_at = loop.time()  # when it came
-        before = self._intake.cache.as_of
-        cursor = self._intake.cache.cursor(self._place.name)
+        cache = self._intake.cache
+        before = cache.checked if needs_list else cache.as_of
+        cursor = cache.cursor(self._place.name)
         async with aclosing(follow_parent(parent, cursor, self._tls)) as updates:
             async for update in updates:
-                had_news |= update.as_of > before or update.listed > cursor.listed
-                if update.as_of > latest:
-                    latest = update.as_of
-                    latest_at = loop.time()
+                confirmed = update.checked if needs_list else update.as_of
+                had_news |= confirmed > before or update.listed > cursor.listed
+                head.take(update.as_of, loop.time())
+                listed.take(update.checked, loop.time())
                 self._intake.take_update(update)
-                if loop.time() - latest_at > STALE_TIMEOUT:
+                now = loop.time()
+                if head.is_stale(now) or (needs_list and listed.is_stale(now)):
                     break
         return had_news
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -26,6 +26,7 @@
     watcher_ring,
 )
 from wheatslip.store.instances import Instance
+from wheatslipd.feed import following
 from wheatslipd.http.messages import RequestHead
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
@@ -303,6 +304,36 @@
     run(main)
 
 
+def test_readers_that_follow_each_other_find_daemons_that_moved(tmp_path, monkeypatch):
+    """What happened: the first readers of both zones came back at other ports at once. The
+    second ones, which do not watch the list, followed each other: their heads stayed fresh, and
+    their list old, for as long as they ran.
+    """
+    monkeypatch.setattr(following, "list_timeout", lambda list_watch: 1.0)
+
+    async def main():
+        async with Installation(tmp_path) as installation:
+            for name in ("a-0", "a-1", "b-0", "b-1"):
+                await installation.add(name, zone=name[0])
+            await installation.release(bundle())
+            await installation.ready()
+            firsts = [relay_order((f"{zone}-0", f"{zone}-1"))[0] for zone in "ab"]
+            for name in firsts:
+                installation.nodes[name].daemon.stop()
+            await asyncio.gather(*(installation.nodes[name].task for name in firsts))
+            for name in firsts:
+                await installation.start_again(name)
+            moved = {name: node.instance for name, node in installation.nodes.items()}
+
+            async def all_know_the_new_ports():
+                nodes = installation.nodes.values()
+                return all(node.daemon.feed.cache.instances == moved for node in nodes)
+
+            await eventually(all_know_the_new_ports)
+
+    run(main)
+
+
 @pytest.fixture
 def authorities(tmp_path):
     """Files of two daemons, each of an authority of its own."""
