--- a/packages/wheatslip/wheatslip/config/ini.py
+++ b/packages/wheatslip/wheatslip/config/ini.py
@@ -1,7 +1,7 @@
 """Typed, checked reading of INI files.
 
-A `Section` hands out typed values and notes every problem it meets, so that one run of a
-check names them all: file, section, key, the value found and what would be right.
+A `Section` returns typed values and notes every problem, so that one check names them all:
+file, section, key, the value found and what is expected.
 """
 
 import configparser
@@ -92,13 +92,13 @@
 
 
 class Section:
-    """Typed view of one section. Keys never asked for are problems; see `finish`."""
+    """Typed view of one section. Keys that are never read are problems; see `finish`."""
 
     def __init__(self, name: str, values: dict[str, str], problems: Problems):
         self.name = name
         self._values = values
         self._problems = problems
-        self._asked: set[str] = set()
+        self._read: set[str] = set()
 
     def get(
         self,
@@ -110,7 +110,7 @@
         must: bool = False,
     ) -> T:
         """The value of `key` through `parse`; on a missing or bad value, `default`."""
-        self._asked.add(key)
+        self._read.add(key)
         text = self._values.get(key)
         if text is None or text == "":
             if must:
@@ -174,9 +174,9 @@
         return self.get(key, default, parse, "one of " + ", ".join(choices))
 
     def finish(self) -> None:
-        """Report the keys that nobody asked for."""
-        for key in self._values.keys() - self._asked:
-            known = ", ".join(sorted(self._asked))
+        """Note the keys that were never read as problems."""
+        for key in self._values.keys() - self._read:
+            known = ", ".join(sorted(self._read))
             self._problems.add(self.name, key, self._values[key], f"a known key ({known})")
 
 
