--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -7,7 +7,7 @@
 
 from test.helper import run
 from test.routed_fleet import configuration, fleet
-from test.test_coldturns import BOUND, most_in_any_second
+from test.test_coldstarts import BOUND, most_in_any_second
 
 COLD_SECONDS = 1.5
 COLD = {"cold_start_s": COLD_SECONDS, "cold_per_s": 8}
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -82,3 +82,11 @@
     assert named
     for section, key in named:
         assert defaults.has_option(section, key), (section, key)
+
+
+def test_every_module_of_the_embedding_page_exists():
+    text = (DOCS / "EMBEDDING.md").read_text()
+    for cell in re.findall(r"^\| [a-z ]+ \| (`[^|]*`) \|", text, re.MULTILINE):
+        for name in re.findall(r"`([a-z.]+)`", cell):
+            place = LIBRARY / name.replace(".", "/")
+            assert place.is_dir() or place.with_suffix(".py").is_file(), name
