--- a/demo/demo.py
+++ b/demo/demo.py
@@ -34,7 +34,7 @@
 from standins.caller import Caller, Request, make_key
 from standins.cluster import Cluster
 from standins.operators import Desk
-from standins.verdict import Verdict, judge
+from standins.verdict import DRAIN_SECONDS, Verdict, judge
 
 TRAFFIC_SECONDS = 25.0
 CALLS_PER_SECOND = 20.0  # of each of the six calling workspaces
@@ -42,8 +42,6 @@
 KILLED = "papers-2"
 DRAINED = "tarifs-1"
 DRAINED_ZONE = "linz-c"  # an availability zone
-# Seconds until what a gate had let through before it knew has reached its server.
-ON_THE_WAY = 0.5
 SECOND_BUNDLE = "\n[kind papers/preview]\nrepeatable = yes\n"
 MICROSECONDS = 1e6
 LONGEST_MICROSECONDS = 60_000_000
@@ -115,7 +113,7 @@
     print(f"draining zone {DRAINED_ZONE}", flush=True)
     await desk.drain_zone(DRAINED_ZONE)
     await cluster.wait_for_drained_zones(DRAINED_ZONE)
-    began = time.time() + ON_THE_WAY
+    began = time.time() + DRAIN_SECONDS
     await asyncio.sleep(seconds)
     observed.zone_drained = (began, time.time())
     await desk.restore_zone(DRAINED_ZONE)
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -16,15 +16,13 @@
 from standins.cluster import Cluster, Member, Plan, eventually
 from standins.operators import CommandFailed, Desk
 from standins.platform import Faults
+from standins.verdict import DRAIN_SECONDS
 
 SLOTS = 4
 SERVICE = 0.02  # seconds
 SLOW = 8.0  # times
 DELAY = 0.5  # seconds that a slow platform takes
 LOST = 3  # writes in a row whose answers are lost
-# Seconds after all daemons reported that a zone is drained. What a gate let through before has
-# reached its server by then: a connection takes up to a quarter of a second.
-ON_THE_WAY = 0.5
 STATUS_SECONDS = 0.5  # that a status page gets to answer
 CALM_SECONDS = 60.0  # in which all must be well again when the faults are over
 
@@ -206,7 +204,7 @@
         end = self.now + step.seconds
         while self.now < end:
             if await self._all_know(step.where):
-                known = self.now + ON_THE_WAY
+                known = self.now + DRAIN_SECONDS
                 self.history.drained_zones.append(DrainedZone(step.where, known, known))
                 return
 
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -33,8 +33,6 @@
 
     request_id: str
     key: str
-    workspace: str
-    finished: bool
     at: float = 0.0
 
 
@@ -53,8 +51,7 @@
         self._behaviour = behaviour
         self._rng = rng
         self._slots = asyncio.Semaphore(behaviour.slots)
-        self._started: list[tuple[str, str, str, float]] = []
-        self._finished: set[int] = set()
+        self.runs: list[Run] = []
         self._probes = 0
 
         self.server = Server(self.handle)
@@ -69,7 +66,8 @@
             self._behaviour = msgspec.json.decode(body, type=Behaviour)
             await exchange.respond(ResponseHead(204, []))
         elif path == b"/stand-in/record":
-            await exchange.respond(ResponseHead(200), msgspec.json.encode(self._record()))
+            record = Record(self.runs, self._probes)
+            await exchange.respond(ResponseHead(200), msgspec.json.encode(record))
         else:
             await self._serve(exchange)
 
@@ -84,21 +82,18 @@
         async for chunk in exchange.body.chunks():
             size += len(chunk)
         if behaviour.fail_fast:
-            self._finished.add(self._note_start(exchange))
+            self._record_run(exchange)
             await exchange.respond(ResponseHead(500), b"failed")
             return
         async with self._slots:
-            number = self._note_start(exchange)
+            self._record_run(exchange)
             await asyncio.sleep(self._service_time(behaviour))
-            self._finished.add(number)
         await self._answer(exchange, size)
 
-    def _note_start(self, exchange: Exchange) -> int:
-        head = exchange.head
-        names = (b"x-request-id", b"wheatslip-key", b"wheatslip-workspace")
-        request_id, key, workspace = ((head.get(name) or b"").decode() for name in names)
-        self._started.append((request_id, key, workspace, time.time()))
-        return len(self._started) - 1
+    def _record_run(self, exchange: Exchange) -> None:
+        names = (b"x-request-id", b"wheatslip-key")
+        request_id, key = ((exchange.head.get(name) or b"").decode() for name in names)
+        self.runs.append(Run(request_id, key, time.time()))
 
     def _service_time(self, behaviour: Behaviour) -> float:
         if not behaviour.service:
@@ -115,13 +110,6 @@
         body = b" ".join(words) + b"\n"
         await exchange.respond(ResponseHead(200, headers), body)
 
-    def _record(self) -> Record:
-        runs = [
-            Run(request_id, key, workspace, number in self._finished, at)
-            for number, (request_id, key, workspace, at) in enumerate(self._started)
-        ]
-        return Record(runs, self._probes)
-
 
 async def _main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -14,6 +14,9 @@
 
 KEPT_CHANGES = 1000
 MAX_VALUE_BYTES = 1_000_000
+# The rates of the users' store for some dozen instances, from their site sheets.
+WRITES_PER_SECOND = 400.0
+READS_PER_SECOND = 2000.0
 
 
 class Faults(msgspec.Struct):
@@ -22,9 +25,7 @@
     down: bool = False
     delay: float = 0.0
     lose_write_answers: int = 0
-    # The rates of the users' store for some dozen instances, from their site sheets.
-    writes_per_second: float = 400.0
-    reads_per_second: float = 2000.0
+    writes_per_second: float = WRITES_PER_SECOND
 
 
 class Rate:
@@ -127,7 +128,7 @@
         is_read = request.method == "GET"
         self.calls["read" if is_read else "write"] += 1
         rate, limit = (
-            (self.reads, self.faults.reads_per_second)
+            (self.reads, READS_PER_SECOND)
             if is_read
             else (self.writes, self.faults.writes_per_second)
         )
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -7,6 +7,10 @@
 from standins.backend import Run
 from standins.caller import Reported, Request
 
+# Seconds after all daemons reported that a zone is drained. What a gate let through before has
+# reached its server by then: a connection takes up to a quarter of a second.
+DRAIN_SECONDS = 0.5
+
 
 @dataclass(slots=True)
 class Verdict:
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -32,7 +32,7 @@
 
 
 def runs_of(installation):
-    return [r for node in installation.nodes.values() for r in node.backend._record().runs]
+    return [r for node in installation.nodes.values() for r in node.backend.runs]
 
 
 def test_answers_come_from_the_right_request(tmp_path):
@@ -223,13 +223,13 @@
         await eventually(lambda: _busy(leaving))
         await installation.list_instance(leaving, InstanceState.LEAVING)
         await eventually(lambda: _draining(leaving))
-        started = len(leaving.backend._record().runs)
+        started = len(leaving.backend.runs)
         await asyncio.gather(*in_flight)
         # Its own entry still forwards: the callers there have nowhere else to go yet.
         for node in (installation.nodes["papers-1"], leaving):
             await caller.send(node.entry, "papers", "submit", once=True)
         assert all(one.reported is Reported.ANSWERED for one in caller.requests)
-        assert len(leaving.backend._record().runs) == started
+        assert len(leaving.backend.runs) == started
         assert not judge(caller.requests, runs_of(installation)).broken
 
     two_upstreams(tmp_path, scenario, service=0.2, sigma=0.0)
@@ -314,7 +314,7 @@
         older.daemon.feed.cache.head = Head(1, bundle().digest())
         older.daemon.feed.cache.bundle = bundle()
         caller = installation.caller()
-        while not older.backend._record().runs:
+        while not older.backend.runs:
             sent = await caller.send(newer.entry, "papers", "submit", once=True)
             assert sent.reported is Reported.ANSWERED
         assert older.daemon.status().version == 2
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -20,7 +20,7 @@
 
 
 def ran(request_id="r", zone="one", at=1.0):
-    return Ran(Run(request_id, "", "alpha", True), zone, at)
+    return Ran(Run(request_id, ""), zone, at)
 
 
 def test_a_seed_decides_the_course():
--- a/test/test_zone_commands.py
+++ b/test/test_zone_commands.py
@@ -133,4 +133,4 @@
 
 
 def runs_of(node):
-    return node.backend._record().runs
+    return list(node.backend.runs)
