--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -3,6 +3,7 @@
 import ast
 import configparser
 import re
+from fnmatch import fnmatchcase
 from pathlib import Path
 
 from wheatslipd.telemetry.metrics import Metrics
@@ -90,3 +91,16 @@
         for name in re.findall(r"`([a-z.]+)`", cell):
             place = LIBRARY / name.replace(".", "/")
             assert place.is_dir() or place.with_suffix(".py").is_file(), name
+
+
+def test_every_test_that_the_pages_name_exists():
+    files = list((ROOT / "test").glob("test_*.py"))
+    known = {path.name for path in files}
+    for path in files:
+        known |= set(re.findall(r"def (test_\w+)\(", path.read_text()))
+    for page in ("INVARIANTS.md", "PLATFORM.md"):
+        named = set(re.findall(r"`(?:test/)?(test_[\w.]+\*?)`", (DOCS / page).read_text()))
+        assert named, page
+        for name in named:
+            found = [one for one in known if fnmatchcase(one, name)]
+            assert found, (page, name)
