--- a/packages/wheatslip/wheatslip/config/head.py
+++ b/packages/wheatslip/wheatslip/config/head.py
@@ -6,6 +6,7 @@
 HEAD_NAME = "bundle"
 BUNDLE_KIND = "bundle"
 DELTA_KIND = "delta"  # what differs from the version before, under the same name
+# Characters of a digest in a bundle's name: enough to part the proposals of one version.
 DIGEST_CHARS = 16
 
 
--- a/packages/wheatslip/wheatslip/config/signing.py
+++ b/packages/wheatslip/wheatslip/config/signing.py
@@ -15,7 +15,7 @@
 from wheatslip.config.signedbundle import Signature, SignedBundle
 from wheatslip.config.zonedrains import ZoneDrain
 
-SIGNATURES_NEEDED = 2
+SIGNATURES_NEEDED = 2  # of different operators: no bundle is in force by one person alone
 # Signed in front of the bundle, so that a signature can't be used for anything else.
 CONTEXT = b"wheatslip bundle v1\n"
 DRAIN_CONTEXT = b"wheatslip zone drain v1\n"
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -1,4 +1,4 @@
-"""The entry's filters, in the order in which `entry_filters` lists them."""
+"""The entry's filters. `common_filters` and `workspace_filters` list them in their order."""
 
 import asyncio
 from collections.abc import Callable
--- a/packages/wheatslipd/wheatslipd/run.py
+++ b/packages/wheatslipd/wheatslipd/run.py
@@ -19,6 +19,7 @@
 from wheatslipd.settings import Settings, load_settings
 from wheatslipd.telemetry import logs
 
+# Exit codes of the process, as docs/OPERATIONS.md has them; 0 is a planned stop.
 EXIT_FAILED = 1
 EXIT_BAD_SETTINGS = 2
 # The garbage collector's thresholds: new objects before the youngest generation is collected,
--- a/packages/wheatslipd/wheatslipd/telemetry/tracing.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/tracing.py
@@ -16,6 +16,7 @@
     from opentelemetry.sdk.trace import TracerProvider
 
 TRACEPARENT = b"traceparent"
+# The form of the header, by the W3C recommendation: its parts, and their lengths in hex digits.
 _PARTS = 4
 _TRACE_ID_LENGTH = 32
 _SPAN_ID_LENGTH = 16
