--- a/packages/wheatslipd/wheatslipd/run.py
+++ b/packages/wheatslipd/wheatslipd/run.py
@@ -67,7 +67,7 @@
     """Read the settings again; a file with problems changes nothing."""
     match load_settings(path):
         case Ok(settings):
-            log.level = settings.log_level
+            logs.set_level(log, settings.log_level)
             daemon.reload(settings)
         case Err(problems):
             for problem in problems:
--- a/packages/wheatslipd/wheatslipd/telemetry/logs.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/logs.py
@@ -82,13 +82,19 @@
 def start_logging(level: LogLevel, path: str) -> KeyValueDestination:
     """Send eliot's events to a file, or standard error if `path` is empty."""
     stream = open(path, "a", encoding="utf-8") if path else sys.stderr  # noqa: SIM115
-    global _least
-    _least = level
     destination = KeyValueDestination(stream, level)
+    set_level(destination, level)
     eliot.add_destinations(destination)
     return destination
 
 
+def set_level(destination: KeyValueDestination, level: LogLevel) -> None:
+    """Write events of at least a level from now on, and make the fields of no others."""
+    global _least
+    _least = level
+    destination.level = level
+
+
 _least = LogLevel.INFO
 
 
--- a/test/test_processes.py
+++ b/test/test_processes.py
@@ -159,6 +159,30 @@
     cluster(scenario)
 
 
+def test_a_daemon_that_is_set_to_debug_by_a_signal_logs_each_try_and_run(cluster):
+    async def scenario(cluster):
+        daemons = [cluster.members[name].daemon for name in cluster.members]
+        for name, daemon in zip(cluster.members, daemons, strict=True):
+            path = cluster.folder / f"{name}.ini"
+            path.write_text(path.read_text() + "[log]\nlevel = debug\n")
+            daemon.send(signal.SIGHUP)
+            await daemon.wait_for(re.compile("event=settings-reloaded"))
+        port = cluster.members["papers-1"].instance.entry_port
+        sent = await caller_of(cluster).send(port, "papers", "submit", once=True)
+        assert sent.reported is Reported.ANSWERED
+        await daemons[0].wait_for(re.compile("event=try-ended"))
+        runs = [
+            asyncio.create_task(daemon.wait_for(re.compile("event=run-ended")))
+            for daemon in daemons
+        ]
+        done, others = await asyncio.wait(runs, return_when=asyncio.FIRST_COMPLETED)
+        for run_ended in others:
+            run_ended.cancel()
+        assert done
+
+    cluster(scenario)
+
+
 def test_a_key_is_not_run_again_after_its_owner_was_killed(cluster):
     async def scenario(cluster):
         caller = caller_of(cluster)
