--- a/packages/wheatslip/wheatslip/admission/timing.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -7,10 +7,13 @@
     |<------ may wait ------->|<--------- base time ----------->|                    |
                               |<-- present time, at most half of what is left ------>|
 
-The latest start is the earliest of three moments: the one from which it could still meet its
-target outside of slow spells, the one from which it could still meet its deadline as slow as
-the server is now, and `hold_until`, beyond which its sender does not want it held. A request
-without a target or a hold has only the bounds that it brings.
+The latest start is the earliest of three moments:
+
+- the target minus the base time: a later start misses the target even outside of slow spells;
+- the deadline minus the present time: a later start misses the deadline at the present speed;
+- `hold_until`, which the sender sets.
+
+A request without a target or a hold has only the bounds that it brings.
 
 | rule | question | asked |
 |---|---|---|
--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -29,9 +29,9 @@
 - Where the answer of the first row gets no other try, it goes to the caller.
 - A bounce is the refusal of a gate where the call would wait longer than the try's `max_wait`.
 
-What is reported: the outcome of the last try; but where that try was not run and an earlier one
-may have run, the outcome of the latest of these. If the deadline passes during a try: unknown
-where this try or an earlier one may have run, else not run.
+What is reported: the outcome of the last try. If the last try was not run but an earlier one
+may have run, it is the outcome of the latest try that may have run. If the deadline passes
+during a try, it is unknown if any try so far may have run, else not run.
 """
 
 from collections.abc import Sequence
--- a/packages/wheatslip/wheatslip/call.py
+++ b/packages/wheatslip/wheatslip/call.py
@@ -34,9 +34,9 @@
     key: str = ""  # of a call that is to run at most once, however often it is sent
     depth: int = 0  # calls that led to this one, each made while serving the one before
     target: float = ANY_WAIT  # an answer after it is worth little
-    # It may wait for a backend server until this moment, and as long as it may still meet its
-    # target; then a refusal is worth more to its caller than a longer wait. Without a bound it
-    # may wait until its deadline.
+    # Until this moment it may wait for a backend server, as long as it can still meet its
+    # target. After that a refusal serves its caller better. Without a bound it may wait until
+    # its deadline.
     hold_until: float = ANY_WAIT
     max_attempts: int = 5  # tries that may reach a backend server
     request_id: str = ""  # what the backend server echoes in its answer
--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -17,7 +17,11 @@
 |                      |                      | comes                                        |
 | `LOST_WHILE_WAITING` | unreachable, 0.05    | gate: the server is lost while the request   |
 |                      |                      | waits                                        |
-| `overloaded(wait)`   | overloaded, its wait | gate: it would wait longer than it may       |
+| `overloaded(wait)`   | overloaded, its wait | gate: it would wait longer than it may, or   |
+|                      |                      | the queue is full; the wait that the gate    |
+|                      |                      | expects (`Admission.expected_wait`), or 0    |
+|                      |                      | where the server is slow and the sender has  |
+|                      |                      | others to try                                |
 | `FASTER_ELSEWHERE`   | overloaded, 0.05     | gate: the server turns slow while it waits   |
 | `EVICTED`            | over-share, 0.5      | gate: a full queue makes room for another    |
 |                      |                      | workspace's request                          |
--- a/packages/wheatslipd/wheatslipd/feed/following.py
+++ b/packages/wheatslipd/wheatslipd/feed/following.py
@@ -132,9 +132,10 @@
         """Take a parent's updates until it fails or has become stale; whether it had news.
 
         `as_of` stands still when the platform does not answer the watchers from which the
-        parent has its news, or when daemons follow each other in a circle. A watcher without
-        the watch of the list needs a parent for the list alone, so `checked` counts there: two
-        such watchers that follow each other confirm the head by themselves, and never the list.
+        parent has its news, or when daemons follow each other in a circle. A watcher that does
+        not watch the list follows a parent for the list only. There `checked`, the time at
+        which the list was confirmed, counts instead: two such watchers that follow each other
+        keep their heads fresh by their own watches, but nobody brings them a list.
         """
         loop = asyncio.get_running_loop()
         needs_list = self._place.watches and not self._place.watches_list
