--- a/packages/wheatslip/wheatslip/backendload.py
+++ b/packages/wheatslip/wheatslip/backendload.py
@@ -1,14 +1,14 @@
-"""The load that a backend server reports in a header of its answers."""
+"""Decodes the load that a backend server reports in a header of its responses."""
 
 from dataclasses import dataclass
 
-USUAL_PERCENT = 100.0  # of a server that is as fast as usual
-_FIGURES = 3  # running, waiting, slots; a fourth may follow
+USUAL_SLOWNESS_PERCENT = 100.0  # reported by a server at its usual speed
+_REQUIRED_FIELDS = 3  # running, waiting, slots; the slowness is optional
 
 
 @dataclass(frozen=True, slots=True)
 class BackendLoad:
-    """Requests running and waiting, slots, and the slowness (`wheatslip.speed`)."""
+    """Load of one backend server; `wheatslip.speed` defines the slowness."""
 
     running: int
     waiting: int
@@ -17,13 +17,15 @@
 
 
 def decode_backend_load(value: bytes) -> BackendLoad | None:
-    """The load from `RUNNING,WAITING,SLOTS[,PERCENT]`, None if it is not that."""
+    """Decodes `RUNNING,WAITING,SLOTS[,PERCENT]`; returns None if the value is invalid."""
     try:
-        figures = [float(part) for part in value.split(b",")]
+        values = [float(part) for part in value.split(b",")]
     except ValueError:
         return None
-    if len(figures) < _FIGURES or min(figures) < 0 or figures[2] < 1:
+    if len(values) < _REQUIRED_FIELDS or min(values) < 0 or values[2] < 1:
         return None
-    percent = figures[_FIGURES] if len(figures) > _FIGURES else USUAL_PERCENT
-    running, waiting, slots = (int(figure) for figure in figures[:_FIGURES])
-    return BackendLoad(running, waiting, slots, max(percent, 1.0) / USUAL_PERCENT)
+    percent = (
+        values[_REQUIRED_FIELDS] if len(values) > _REQUIRED_FIELDS else USUAL_SLOWNESS_PERCENT
+    )
+    running, waiting, slots = (int(number) for number in values[:_REQUIRED_FIELDS])
+    return BackendLoad(running, waiting, slots, max(percent, 1.0) / USUAL_SLOWNESS_PERCENT)
--- a/packages/wheatslip/wheatslip/budget.py
+++ b/packages/wheatslip/wheatslip/budget.py
@@ -1,8 +1,9 @@
-"""Retry budgets: how many more sends than requests are allowed, per workspace and service.
+"""Retry budgets, which limit retries per workspace and service.
 
-A budget earns a part of a token for each request and pays one for each further send, so that
-retries stay a fixed share of live traffic, also when everything fails. Where the operator sets
-a `FleetBudget`, its bound holds instead: in any window, over all daemons together.
+Each request adds a fraction of a token to the budget and each retry takes one token, so retries
+stay a fixed share of the traffic even if every request fails. If the operator configures a
+`FleetBudget`, it replaces these budgets and limits the retries of all daemons together in any
+window.
 """
 
 from collections import deque
@@ -10,40 +11,33 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-# Tokens that a request earns: retries per request. With less, single failures reach callers;
-# with more, retries add load where servers fail of load.
-RETRY_SHARE = 0.1
-INITIAL_TOKENS = 3.0  # so that the first failures of a new budget are retried
-# Tokens that a budget can save up, which bounds a burst of retries.
-MAX_TOKENS = 20.0
-# Buckets that a window is counted in: more cost memory, fewer let go of requests in larger
-# steps, so fewer retries are allowed.
-BUCKETS = 20
+RETRY_SHARE = 0.1  # tokens added per request, i.e. retries allowed per request
+INITIAL_TOKENS = 3.0  # allows retries before the first tokens are earned
+MAX_TOKENS = 20.0  # limits a burst of retries
+WINDOW_BUCKETS = 20  # time resolution of a sliding window
 
 
 class Budget(Protocol):
-    """Pays for the sends of a request beyond its first."""
+    """Limits the retries of requests."""
 
     def on_request(self) -> None:
-        """A first try was sent."""
+        """Records the first attempt of a request."""
 
     def take(self) -> bool:
-        """Pay for one more send; False if the budget is spent."""
+        """Spends the budget for one retry; returns False if none is left."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Tokens for retries of one workspace at one service."""
+    """A token bucket for the retries of one workspace at one service."""
 
     share: float = RETRY_SHARE
     tokens: float = INITIAL_TOKENS
 
     def on_request(self) -> None:
-        """A first try was sent."""
         self.tokens = min(MAX_TOKENS, self.tokens + self.share)
 
     def take(self) -> bool:
-        """Pay for one retry; False if the budget is spent."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -52,16 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetBudget:
-    """Bound on the further sends to one service by all daemons together, in any window."""
+    """Limit on the retries that all daemons together send to one service in any window."""
 
-    share: float  # further sends per request
-    reserve: float  # further sends besides
+    share: float  # retries per request
+    reserve: float  # retries allowed in addition, whatever the number of requests
     window: float = 10.0  # seconds
 
 
 @dataclass(slots=True)
-class _Bucket:
-    """What was counted from `since` on."""
+class _WindowBucket:
+    """Requests and retries of one time slice of a window, which starts at `since`."""
 
     since: float
     requests: int = 0
@@ -72,34 +66,33 @@
 class WindowBudget:
     """One daemon's part of a `FleetBudget` at one service.
 
-    Daemons share no state: each spends the share of its own requests and an equal part of the
-    reserve, so the sum stays within the bound whichever daemon is cut off or restarted. What a
-    daemon spent before a restart is not known, so it has no reserve for a whole window.
+    Daemons share no state. Each may use the share for its own requests and an equal part of the
+    reserve, so the sum stays within the limit even if a daemon is partitioned or restarted. A
+    restarted daemon does not know what it used before, so it gets no reserve during its first
+    window.
     """
 
     bound: FleetBudget
     members: Callable[[], int]
     started: float
-    _buckets: deque[_Bucket] = field(default_factory=deque)
+    _buckets: deque[_WindowBucket] = field(default_factory=deque)
     _now: float = float("-inf")
 
     def advance(self, now: float) -> None:
-        """Drop the buckets that have left the window at `now`."""
+        """Moves the window to `now` and drops the buckets before it."""
         self._now = now
-        step = self.bound.window / BUCKETS
+        step = self.bound.window / WINDOW_BUCKETS
         if not self._buckets or now >= self._buckets[-1].since + step:
-            self._buckets.append(_Bucket(now))
+            self._buckets.append(_WindowBucket(now))
         while self._buckets[0].since < now - self.bound.window - step:
             self._buckets.popleft()
 
     def on_request(self) -> None:
-        """A first try was sent."""
         self._buckets[-1].requests += 1
 
     def take(self) -> bool:
-        """Pay for one more send; False if the budget is spent."""
-        # Of a bucket that has left the window in part the retries still count and the requests
-        # no longer do, so that the bound holds.
+        # A bucket that lies partly before the window counts with its retries but not with its
+        # requests, so that the limit is never exceeded.
         begin = self._now - self.bound.window
         requests = sum(b.requests for b in self._buckets if b.since >= begin)
         retries = sum(bucket.retries for bucket in self._buckets)
@@ -116,7 +109,7 @@
 
 
 class RetryBudgets:
-    """The budgets of an entry, made when first needed."""
+    """The budgets of one entry, created on first use."""
 
     def __init__(
         self,
@@ -125,30 +118,30 @@
         members: Callable[[], int] = lambda: 1,
         started: float = 0.0,
     ):
-        """With `fleet` its bound holds over as many daemons as `members` returns, for all
-        workspaces together; `started` is when this daemon started (seconds, monotonic).
+        """If `fleet` is given, it limits the retries of all workspaces together, divided among
+        as many daemons as `members` returns. `started` is the start time of this daemon
+        (seconds, monotonic).
         """
         self._share = share
         self._fleet = fleet
         self._members = members
         self._started = started
         self._budgets: dict[tuple[str, str], RetryBudget] = {}
-        self._windows: dict[str, WindowBudget] = {}
+        self._window_budgets: dict[str, WindowBudget] = {}
 
     def of(self, workspace: str, service: str, now: float = 0.0) -> Budget:
-        """The budget of one workspace at one service."""
         if self._fleet is not None:
-            return self._window(self._fleet, service, now)
+            return self._window_budget(self._fleet, service, now)
         key = (workspace, service)
         budget = self._budgets.get(key)
         if budget is None:
             budget = self._budgets[key] = RetryBudget(self._share)
         return budget
 
-    def _window(self, bound: FleetBudget, service: str, now: float) -> WindowBudget:
-        budget = self._windows.get(service)
+    def _window_budget(self, bound: FleetBudget, service: str, now: float) -> WindowBudget:
+        budget = self._window_budgets.get(service)
         if budget is None:
             budget = WindowBudget(bound, self._members, self._started)
-            self._windows[service] = budget
+            self._window_budgets[service] = budget
         budget.advance(now)
         return budget
--- a/packages/wheatslip/wheatslip/call.py
+++ b/packages/wheatslip/wheatslip/call.py
@@ -1,14 +1,16 @@
-"""A call: one request as the decisions see it, without its bytes."""
+"""Metadata of one request, used by admission, routing and retry decisions."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-# Seconds, or a moment, where a wait has no bound.
+# Value of a duration or a time in seconds that is not limited.
 ANY_WAIT = float("inf")
 
 
 class CallClass(StrEnum):
-    """The class of a call in a queue: urgent calls go first but earn no share."""
+    """Scheduling class of a call: urgent calls start first and don't count for the fair share
+    of their workspace.
+    """
 
     NORMAL = "normal"
     URGENT = "urgent"
@@ -16,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """A kind of request, as the bundle defines it for a service."""
+    """A kind of request that the configuration bundle defines for a service."""
 
     name: str
     repeatable: bool
@@ -25,37 +27,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request on its way. Moments are in seconds on the local monotonic clock."""
+    """One request in progress. Times are in seconds on the local monotonic clock."""
 
     workspace: str
     service: str
     kind: RequestKind
-    deadline: float  # an answer after it is worth nothing
-    key: str = ""  # of a call that is to run at most once, however often it is sent
-    depth: int = 0  # calls that led to this one, each made while serving the one before
-    target: float = ANY_WAIT  # an answer after it is worth little
-    # Until this moment it may wait for a backend server, as long as it can still meet its
-    # target. After that a refusal serves its caller better. Without a bound it may wait until
-    # its deadline.
+    deadline: float  # the caller ignores a later response
+    key: str = ""  # idempotency key; empty if there is none
+    depth: int = 0  # length of the chain of nested calls that led to this one
+    target: float = ANY_WAIT  # a response after this time has little value for the caller
+    # Time until which the call may wait for a backend server, provided that it can still meet
+    # its target; later a refusal is better for the caller. If unlimited, the call may wait
+    # until its deadline.
     hold_until: float = ANY_WAIT
-    max_attempts: int = 5  # tries that may reach a backend server
-    request_id: str = ""  # what the backend server echoes in its answer
+    max_attempts: int = 5  # attempts that may reach a backend server
+    request_id: str = ""  # the backend server repeats it in its response
 
     def remaining(self, now: float) -> float:
-        """Seconds left at `now`; not positive once the deadline has passed."""
+        """Seconds from `now` to the deadline; zero or negative after it."""
         return self.deadline - now
 
     @property
     def call_class(self) -> CallClass:
-        """The class of its kind."""
         return self.kind.call_class
 
     @property
     def runs_once_by_key(self) -> bool:
-        """Whether the call's key binds it to run at most once, however often it is sent."""
+        """Whether its key limits the call to one execution, even if it is sent repeatedly."""
         return bool(self.key) and not self.kind.repeatable
 
     @property
     def owned_key(self) -> str:
-        """The key as it is owned: keys of different workspaces are different."""
+        """The key with its workspace, since keys are unique only within one workspace."""
         return f"{self.workspace}/{self.key}"
--- a/packages/wheatslip/wheatslip/callerwait.py
+++ b/packages/wheatslip/wheatslip/callerwait.py
@@ -1,49 +1,49 @@
-"""How long a caller has waited already, computed from the deadline that it sends.
+"""Estimates how long a caller has already waited from the deadline that it sends.
 
-A caller that comes back after a refusal sends what is left of its deadline. The callers of one
-route commonly start with the same deadline, so the difference to the longest one seen lately is
-the time since the caller's first attempt. Seconds.
+A caller that retries after a refusal sends the time left until its deadline. Callers of one
+route usually start with the same deadline, so the difference to the longest recent one is the
+time since the caller's first attempt. All durations are in seconds.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-# Seconds, at least, in which the longest deadline of a route is looked for. Shorter, a pause
-# between first attempts hides the full deadline; longer, a shorter one counts as waiting for
-# longer after callers have changed theirs.
-LONGEST_WINDOW = 10.0
-MAX_ROUTES = 10_000  # bounds the memory; the route added first is dropped
-# Part of the longest deadline from which on an attempt counts as a first one: callers send what
-# is left when they write, a little less than they have.
-FIRST_SHARE = 0.97
+# The longest deadline of a route is taken from the current and the previous window.
+DEADLINE_WINDOW_SECONDS = 10.0
+MAX_ROUTES = 10_000  # limits memory; the oldest route is evicted
+# An attempt with at least this part of the longest deadline is a first attempt. It is below 1
+# because some time passes before a caller writes its request.
+FIRST_ATTEMPT_SHARE = 0.97
 
 
 @dataclass(slots=True)
-class _Longest:
-    """The longest deadline since `since`, and that of the window before."""
+class _LongestDeadlines:
+    """Longest deadlines of the current window, which starts at `since`, and of the last one."""
 
     since: float
-    present: float = 0.0
-    before: float = 0.0
+    current: float = 0.0
+    previous: float = 0.0
 
 
 @dataclass(slots=True)
 class CallerWait:
-    """The longest deadlines by route, in seconds."""
+    """Estimates elapsed waits from the longest deadline of each route."""
 
-    _routes: OrderedDict[str, _Longest] = field(default_factory=OrderedDict)
+    _routes: OrderedDict[str, _LongestDeadlines] = field(default_factory=OrderedDict)
 
     def waited(self, route: str, remaining: float, now: float) -> float:
-        """Seconds that a caller with `remaining` left has waited; 0 for a first attempt."""
+        """Returns the seconds since the first attempt of a caller whose deadline is `remaining`
+        seconds away; 0 for a first attempt.
+        """
         longest = self._routes.get(route)
         if longest is None:
-            longest = self._routes[route] = _Longest(now)
+            longest = self._routes[route] = _LongestDeadlines(now)
             if len(self._routes) > MAX_ROUTES:
                 self._routes.popitem(last=False)
-        if now - longest.since >= LONGEST_WINDOW:
-            longest.before = longest.present
-            longest.present = 0.0
+        if now - longest.since >= DEADLINE_WINDOW_SECONDS:
+            longest.previous = longest.current
+            longest.current = 0.0
             longest.since = now
-        longest.present = max(longest.present, remaining)
-        full = max(longest.present, longest.before)
-        return 0.0 if remaining >= FIRST_SHARE * full else full - remaining
+        longest.current = max(longest.current, remaining)
+        full = max(longest.current, longest.previous)
+        return 0.0 if remaining >= FIRST_ATTEMPT_SHARE * full else full - remaining
--- a/packages/wheatslip/wheatslip/outcome.py
+++ b/packages/wheatslip/wheatslip/outcome.py
@@ -1,7 +1,7 @@
-"""Outcomes of a request, as values.
+"""Outcomes of a request.
 
-A request ends in exactly one of three ways: it was answered, it was not run for certain, or it
-is unknown whether it ran. Nothing in the library raises to report one of these.
+A request has exactly one of three outcomes: it was answered, it was certainly not run, or it is
+unknown whether it ran. The library returns them as values and never raises them.
 """
 
 from dataclasses import dataclass
@@ -32,14 +32,14 @@
     NO_CONFIGURATION = "no-configuration"
     WRONG_POOL = "wrong-pool"
     CONNECTION_LOST = "connection-lost"
-    UNACKNOWLEDGED = "unacknowledged"  # the other machine acknowledged none of the bytes
+    UNACKNOWLEDGED = "unacknowledged"  # the peer acknowledged none of the bytes sent
     BACKEND_FAILED = "backend-failed"
     SERVER_ENDED = "server-ended"  # the backend server ended while it ran the request
-    ENDS_SERVERS = "ends-servers"  # servers ended whenever they ran it, so it is held
+    ENDS_SERVERS = "ends-servers"  # held back because each server that ran the request ended
     CANCELLED = "cancelled"
 
 
-# Reasons for which another upstream may take the request; see the table in `attempts`.
+# Reasons after which the request may be sent to another upstream; see the table in `attempts`.
 RETRYABLE = frozenset(
     {
         Reason.OVERLOADED,
@@ -65,8 +65,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request was not run, for certain. `retry_after` is in seconds, None if not known;
-    `retryafter` has the cases.
+    """The request was certainly not run. `retry_after` is in seconds, None if it is not known;
+    see the table in `retryafter`.
     """
 
     reason: Reason
@@ -74,7 +74,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether another upstream may take the request."""
+        """Whether the request may be sent to another upstream."""
         return self.reason in RETRYABLE
 
 
--- a/packages/wheatslip/wheatslip/slidinglimit.py
+++ b/packages/wheatslip/wheatslip/slidinglimit.py
@@ -1,23 +1,25 @@
-"""A bound on how often something is done in any sliding second. Pure code."""
+"""A rate limit over a sliding window of one second. Has no I/O and no clock of its own."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
-WINDOW = 1.0  # seconds; bounds are given per second
+WINDOW_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class SlidingLimit:
-    """Allows at most `per_second` in each second, wherever that second begins."""
+    """Allows at most `per_second` events in any window of one second."""
 
     per_second: float
-    _taken: deque[float] = field(default_factory=deque)
+    _event_times: deque[float] = field(default_factory=deque)
 
     def take(self, now: float) -> bool:
-        """Whether it may be done now; counts it if so. `now` in seconds, monotonic."""
-        while self._taken and now - self._taken[0] >= WINDOW:
-            self._taken.popleft()
-        if len(self._taken) + 1 > self.per_second:
+        """Returns whether an event is allowed at `now` (seconds, monotonic), and records it if
+        so.
+        """
+        while self._event_times and now - self._event_times[0] >= WINDOW_SECONDS:
+            self._event_times.popleft()
+        if len(self._event_times) + 1 > self.per_second:
             return False
-        self._taken.append(now)
+        self._event_times.append(now)
         return True
--- a/test/test_callerwait.py
+++ b/test/test_callerwait.py
@@ -1,6 +1,6 @@
 """How long a caller has waited, from what is left of its deadline."""
 
-from wheatslip.callerwait import LONGEST_WINDOW, MAX_ROUTES, CallerWait
+from wheatslip.callerwait import DEADLINE_WINDOW_SECONDS, MAX_ROUTES, CallerWait
 
 
 def test_a_first_attempt_has_not_waited():
@@ -19,8 +19,8 @@
 def test_shorter_deadlines_are_the_usual_ones_after_two_windows():
     caller_wait = CallerWait()
     caller_wait.waited("view", 1.0, 0.0)
-    assert caller_wait.waited("view", 0.5, LONGEST_WINDOW) > 0
-    assert caller_wait.waited("view", 0.5, 2 * LONGEST_WINDOW + 1) == 0.0
+    assert caller_wait.waited("view", 0.5, DEADLINE_WINDOW_SECONDS) > 0
+    assert caller_wait.waited("view", 0.5, 2 * DEADLINE_WINDOW_SECONDS + 1) == 0.0
 
 
 def test_routes_are_bounded():
