--- a/packages/wheatslip/wheatslip/admission/__init__.py
+++ b/packages/wheatslip/wheatslip/admission/__init__.py
@@ -1,30 +1,30 @@
-"""Admission at one backend server.
+"""Admission control for one backend server.
 
-- `admission`: the rules by which a request starts, waits or is refused
-- `closures`: why a gate is closed
-- `timing`: how long requests take, and how long they may wait
-- `slowserver`: what a gate does while its server is slow, or may be
-- `gatequeue`: the waiting requests, in the order in which they start
-- `coldstart`: how many requests may start at a cold server
-- `ticket`: a request at the gate
+- `admission`: decides whether a request starts, waits or is refused
+- `closures`: reasons for which a gate is closed
+- `timing`: service times, and how long requests may wait
+- `slowserver`: rules for a server that is or may be slow
+- `gatequeue`: the queue of waiting requests
+- `coldstart`: rate limit for a cold server
+- `ticket`: one request at a gate
 """
 
 from wheatslip.admission.admission import Admission
 from wheatslip.admission.closures import ClosedBy
-from wheatslip.admission.coldstart import ColdRate, ColdStarts, cold_rate
-from wheatslip.admission.slowserver import REFUSAL_LOSS
+from wheatslip.admission.coldstart import ColdRate, ColdStartLimiter, cold_rate
+from wheatslip.admission.slowserver import NEEDLESS_REFUSAL_COST
 from wheatslip.admission.ticket import (
     AdmissionSettings,
     Ticket,
 )
 
 __all__ = [
-    "REFUSAL_LOSS",
+    "NEEDLESS_REFUSAL_COST",
     "Admission",
     "AdmissionSettings",
     "ClosedBy",
     "ColdRate",
-    "ColdStarts",
+    "ColdStartLimiter",
     "Ticket",
     "cold_rate",
 ]
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -1,41 +1,46 @@
-"""Admission at one backend server: which request starts, which waits, which is refused.
+"""Admission control for one backend server: decides which requests start, wait or are refused.
 
-Pure decision code: the caller passes the time in (seconds, monotonic) and carries out what is
-decided. One `Admission` is the only way to its backend server, so its count is exact.
+This code does no I/O: the caller passes the time (seconds, monotonic) and carries out the
+decisions. All requests to a backend server go through one `Admission`, so its count of running
+requests is exact.
 
-Load pattern: more requests come than the server has slots for, in waves, while its speed
-changes. What would be answered too late is refused at once, as long as it can be answered
-elsewhere or its caller can come back; what may be in time waits.
+Requests arrive in bursts that exceed the slots of the server, while its speed changes. A
+request that would be answered too late is refused at once, so that its sender can try another
+server or its caller can retry; one that may be answered in time waits.
 
-The rules in the order in which an arrival meets them:
+The rules in the order in which they apply to a new request:
 
-| rule | outcome | decided by |
+| condition | result | decided by |
 |---|---|---|
-| the gate is closed | refused for the first reason that holds | `ClosedBy` |
+| the gate is closed | refused for the first active reason | `ClosedBy` |
 | its deadline has passed | refused | `arrive` |
-| the server is slow, and the sender has others to try | refused, goes elsewhere | \
-`goes_elsewhere` |
-| there is room, no one waits, and no slow spell is to be waited out | starts | \
-`_starts_at_once` |
-| the expected wait is longer than the sender wants | refused | `arrive` |
+| the server is slow, and the sender can try others | refused | `should_try_elsewhere` |
+| there is capacity, the queue is empty, and it need not wait for the end of a slow period \
+| starts | `_start_if_possible` |
+| the expected wait is longer than the sender accepts | refused | `arrive` |
 | it would miss its deadline after the wait | refused | `is_too_late` |
-| it would miss its target by the wait for others alone | refused | `_misses_target` |
-| it may not be held | starts if its answer is not much too late, else refused | \
-`_starts_late` |
-| the queue is full, and no other workspace waits with more | refused | `_enqueue` |
-| else | waits, until it starts or its latest start has passed | `admit`, `expire` |
-
-There is room if a slot is free and, of a cold server, a start (`ColdStarts`). A call that waits
-starts by its workspace's share and by need; one that will miss its target after the rest.
+| the wait for other requests would make it miss its target | refused | `_misses_target` |
+| it may not be held | starts if its response would not be much too late, else refused | \
+`_start_late_if_worthwhile` |
+| the queue is full, and no other workspace has a larger backlog | refused | `_enqueue` |
+| otherwise | waits until it starts or its latest start has passed | `admit`, `expire` |
+
+There is capacity if a slot is free and, for a cold server, `ColdStartLimiter` allows a start.
+Waiting requests start by the shares of their workspaces and by urgency; those that will miss
+their target start last.
 """
 
 from dataclasses import dataclass, field
 from math import ceil
 
 from wheatslip.admission.closures import Closures
-from wheatslip.admission.coldstart import ColdStarts
+from wheatslip.admission.coldstart import ColdStartLimiter
 from wheatslip.admission.gatequeue import GateQueue
-from wheatslip.admission.slowserver import gain_of_probing, goes_elsewhere, waits_out
+from wheatslip.admission.slowserver import (
+    gain_of_probing,
+    should_try_elsewhere,
+    should_wait_out_slow_period,
+)
 from wheatslip.admission.ticket import AdmissionSettings, Ticket
 from wheatslip.admission.timing import ServiceTiming
 from wheatslip.call import ANY_WAIT, Call, CallClass
@@ -52,10 +57,11 @@
     timing: ServiceTiming = field(init=False)
     closures: Closures = field(init=False, default_factory=Closures)
     last_finished: float = float("-inf")
-    cold: ColdStarts = field(init=False, default_factory=ColdStarts)
+    cold: ColdStartLimiter = field(init=False, default_factory=ColdStartLimiter)
     _queue: GateQueue = field(init=False)
     _running: set[Ticket] = field(init=False, default_factory=set)
-    _was_full: bool = field(init=False, default=False)  # a request had to wait or was refused
+    # Whether a request had to wait or was refused since the last recorded service time.
+    _was_full: bool = field(init=False, default=False)
 
     def __post_init__(self) -> None:
         self.timing = ServiceTiming(ConcurrencyLimit(self.settings.slots))
@@ -63,82 +69,85 @@
 
     @property
     def limit(self) -> ConcurrencyLimit:
-        """How many may run at one time."""
         return self.timing.limit
 
     @property
     def in_flight(self) -> int:
-        """Requests the backend server is working on."""
+        """Number of requests that the backend server is processing."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Requests that wait here."""
+        """Number of waiting requests."""
         return len(self._queue)
 
     def set_shares(self, shares: dict[str, float]) -> None:
-        """Weights of the workspaces, by name; one that is missing has weight 1."""
+        """Sets the weights of the workspaces by name; a missing one has weight 1."""
         self._queue.set_shares(shares)
 
     def resize(self, settings: AdmissionSettings) -> None:
-        """Take new bounds; what waits or runs stays."""
+        """Applies new settings; waiting and running requests are kept."""
         if settings.slots != self.settings.slots:
             self.timing.limit = ConcurrencyLimit(settings.slots)
         self.settings = settings
         self._queue.set_urgent_share(settings.urgent_share)
 
     def gain_of_probing(self, call: Call, now: float) -> float:
-        """What is saved on average if the server is probed before `call` starts, as a part of
-        what an answer within its target is worth; 0 if the call can't start now.
+        """Returns the expected benefit of probing the server before `call` starts, as a
+        fraction of the value of a response within its target; 0 if the call can't start now.
         """
         if self.closures.holding:
             return 0.0
-        if self.queued or not self._has_room(now):
-            return 0.0  # it waits, and starts when an answer has reported the speed anew
+        if self.queued or not self._has_capacity(now):
+            return 0.0  # the call waits for a response, which reports the speed again
         return gain_of_probing(self.timing, call, now)
 
     def expected_wait(self, call: Call, now: float) -> float:
-        """Seconds until a call that arrives now would start, given its workspace's share."""
+        """Estimates the seconds until a call that arrives now would start, considering the
+        share of its workspace.
+        """
         has_slot = self.in_flight < self.limit.value
         if has_slot and not self.queued:
             return self.cold.wait(0, now)
         urgent = call.call_class is CallClass.URGENT
-        ahead = self._queue.ahead_of(call.workspace, urgent=urgent)
-        for_slot = (ahead + 1) / self.limit.value * self.timing.service_estimate(now)
+        ahead = self._queue.count_ahead(call.workspace, urgent=urgent)
+        for_slot = (ahead + 1) / self.limit.value * self.timing.current_service_time(now)
         return max(for_slot, self.cold.wait(ahead, now))
 
     def cold_start_wait(self, now: float) -> float | None:
-        """Seconds until a waiting request may start, if it waits only because the server is
-        cold.
+        """Returns the seconds until a waiting request may start if it waits only because the
+        server is cold, else None.
         """
         if not self.queued or self.in_flight >= self.limit.value:
             return None
         return self.cold.wait(0, now) or None
 
     def reported_limit(self, now: float) -> int:
-        """Requests that may run at one time, for the load report: of a cold server no more than
-        its rate keeps busy.
+        """Returns the concurrency limit for the load report. For a cold server it is at most
+        the concurrency that its start rate can sustain.
         """
         limit = self.limit.value
         if self.cold.rate is None or not self.cold.is_cold(now):
             return limit
-        kept_busy = ceil(self.cold.rate.per_second * self.timing.service_estimate(now))
+        kept_busy = ceil(self.cold.rate.per_second * self.timing.current_service_time(now))
         return max(1, min(limit, kept_busy))
 
     def arrive(self, call: Call, now: float, max_wait: float = ANY_WAIT) -> Ticket | NotRun:
-        """Take a request: a started ticket runs, another waits; or it is refused.
+        """Admits or refuses a request. A returned ticket with a start time runs, one without
+        waits.
 
-        `max_wait`: the sender would rather try elsewhere than wait so many seconds.
+        `max_wait` is the longest wait in seconds for which the sender prefers this server over
+        another one.
         """
         closed_by = self.closures.holding
         if closed_by:
             return closed_by[0].refusal
         if call.remaining(now) <= 0:
             return NotRun(Reason.DEADLINE)
-        if goes_elsewhere(self.timing, call, max_wait, now):
+        if should_try_elsewhere(self.timing, call, max_wait, now):
             return overloaded(0.0)
         ticket = Ticket(call, now, max_wait=max_wait)
-        if self._starts_at_once(ticket, now):
+        if self._start_if_possible(ticket, now):
             return ticket
         wait = self.expected_wait(call, now)
         if wait > max_wait or self.timing.is_too_late(call, wait, now):
@@ -146,13 +155,14 @@
         if self._misses_target(call, wait, now):
             return overloaded(wait)
         if call.hold_until <= now:
-            return ticket if self._starts_late(ticket, now) else overloaded(wait)
+            return ticket if self._start_late_if_worthwhile(ticket, now) else overloaded(wait)
         return ticket if self._enqueue(ticket) else overloaded(wait)
 
     def finish(self, ticket: Ticket, now: float, *, worked: bool) -> list[Ticket]:
-        """A started request has ended. `worked`: its time shows the server's speed.
+        """Removes a started request that has ended, and returns the tickets that start now.
 
-        Returns the tickets that start now.
+        `worked` tells whether the backend server answered it, so that its service time is
+        valid.
         """
         assert ticket.started is not None
         if ticket not in self._running:
@@ -160,85 +170,89 @@
         self._running.remove(ticket)
         self.timing.on_end(ticket.started)
         self.last_finished = now
-        took = now - ticket.started
-        if worked and self.timing.observe(ticket, took, saturated=self._was_full):
+        service_time = now - ticket.started
+        if worked and self.timing.observe(ticket, service_time, saturated=self._was_full):
             self._was_full = bool(self.queued)
         return self.admit(now)
 
     def take_for_elsewhere(self, now: float) -> list[Ticket]:
-        """Take out of the queue what another server should rather take, as this one is slow."""
-        found = [
+        """Removes and returns the tickets that another, faster server should take."""
+        redirected = [
             ticket
             for ticket in self._queue
-            if goes_elsewhere(self.timing, ticket.call, ticket.max_wait, now)
+            if should_try_elsewhere(self.timing, ticket.call, ticket.max_wait, now)
         ]
-        for ticket in found:
+        for ticket in redirected:
             self._queue.remove(ticket)
-        return found
+        return redirected
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Take a waiting ticket out of the queue; False if it does not wait."""
+        """Removes a waiting ticket from the queue; returns False if it is not waiting."""
         if ticket.started is not None:
             return False
         return self._queue.remove(ticket)
 
     def admit(self, now: float) -> list[Ticket]:
-        """Start waiting requests while there is room."""
+        """Starts waiting requests while there is capacity, and returns their tickets."""
         started = []
-        passed_over = []
-        while self._has_room(now):
+        postponed = []
+        while self._has_capacity(now):
             ticket = self._queue.pop()
             if ticket is None:
                 break
-            if waits_out(self.timing, ticket.call, now):
-                passed_over.append(ticket)
-            elif not self._falls_behind(ticket, now):
+            if should_wait_out_slow_period(self.timing, ticket.call, now):
+                postponed.append(ticket)
+            elif not self._requeue_if_late(ticket, now):
                 self._start(ticket, now)
                 started.append(ticket)
-        for ticket in passed_over:
+        for ticket in postponed:
             self._queue.push(ticket)
         return started
 
     def expire(self, ticket: Ticket, now: float) -> bool:
-        """The latest start of a waiting ticket has passed: it leaves the queue. Whether it
-        starts after all.
+        """Removes a waiting ticket whose latest start has passed from the queue. Returns
+        whether it was started late.
         """
         self._queue.remove(ticket)
-        return not self.closures.holding and self._starts_late(ticket, now)
+        return not self.closures.holding and self._start_late_if_worthwhile(ticket, now)
 
     def refusal_after_wait(self, call: Call, now: float) -> NotRun:
-        """The refusal of a call that has waited and does not start."""
+        """Returns the refusal of a call that has waited and was not started."""
         if call.hold_until > now:
             return NotRun(Reason.DEADLINE)
         return overloaded(self.expected_wait(call, now))
 
     def evicted(self) -> list[Ticket]:
-        """Tickets pushed out of a full queue since the last call."""
+        """Returns the tickets evicted from a full queue since the last call."""
         return self._queue.take_evicted()
 
-    def _starts_at_once(self, ticket: Ticket, now: float) -> bool:
-        """Start a ticket if nothing is in its way; whether it has started."""
-        has_room = self._has_room(now)
-        if has_room and not self.queued and not waits_out(self.timing, ticket.call, now):
+    def _start_if_possible(self, ticket: Ticket, now: float) -> bool:
+        """Starts a new ticket unless it must wait; returns whether it was started."""
+        has_capacity = self._has_capacity(now)
+        if (
+            has_capacity
+            and not self.queued
+            and not should_wait_out_slow_period(self.timing, ticket.call, now)
+        ):
             self._start(ticket, now)
             return True
-        self._was_full = self._was_full or not has_room
+        self._was_full = self._was_full or not has_capacity
         return False
 
     def _misses_target(self, call: Call, wait: float, now: float) -> bool:
-        """Whether a call will miss its target by the wait for others, or for a cold server. One
-        that waits only for the end of a slow spell may still meet it.
+        """Whether waiting for other requests or for a cold server makes a call miss its target.
+        A call that waits only for the end of a slow period may still meet it.
         """
         waits_for_cold_start = self.cold.wait(0, now) > 0
         if self.in_flight + self.queued < self.limit.value and not waits_for_cold_start:
             return False
         return self.timing.misses_target(call, wait, now)
 
-    def _starts_late(self, ticket: Ticket, now: float) -> bool:
-        """Start a ticket that can't wait any longer, if its answer is still worth the slot;
-        whether it has started.
+    def _start_late_if_worthwhile(self, ticket: Ticket, now: float) -> bool:
+        """Starts a ticket that can't wait any longer if there is capacity and its response
+        would still be useful; returns whether it was started.
         """
-        if not self._has_room(now):
+        if not self._has_capacity(now):
             return False
         is_idle = 2 * self.in_flight <= self.limit.value
         if not self.timing.may_start_late(ticket.call, now, is_idle=is_idle):
@@ -246,30 +260,31 @@
         self._start(ticket, now)
         return True
 
-    def _falls_behind(self, ticket: Ticket, now: float) -> bool:
-        """Put a ticket that will miss its target behind all that may meet theirs.
+    def _requeue_if_late(self, ticket: Ticket, now: float) -> bool:
+        """Requeues a ticket that will miss its target behind all that may meet theirs; returns
+        whether it did.
 
-        It keeps its place if it is there already, or if no one else waits.
+        A ticket that was requeued before, or that is the only one waiting, is not requeued.
         """
         call = ticket.call
-        if ticket.late or not self.queued:
+        if ticket.is_late or not self.queued:
             return False
-        if now + self.timing.present_time(call, now) <= call.target:
+        if now + self.timing.current_call_time(call, now) <= call.target:
             return False
-        ticket.late = True
+        ticket.is_late = True
         self._queue.push(ticket)
         return True
 
     def _enqueue(self, ticket: Ticket) -> bool:
-        """Let a ticket wait; False if the queue is full and no room is made for it."""
+        """Adds a ticket to the queue; returns False if the queue is full."""
         is_full = len(self._queue) >= self.settings.queue
-        if is_full and not self._queue.make_room(ticket):
+        if is_full and not self._queue.evict_for(ticket):
             return False
         self._queue.push(ticket)
         return True
 
-    def _has_room(self, now: float) -> bool:
-        """Whether one more may start: there is a slot, and a cold server bears it."""
+    def _has_capacity(self, now: float) -> bool:
+        """Whether a slot is free and, for a cold server, the rate limit allows a start."""
         return self.in_flight < self.limit.value and self.cold.wait(0, now) <= 0
 
     def _start(self, ticket: Ticket, now: float) -> None:
--- a/packages/wheatslip/wheatslip/admission/closures.py
+++ b/packages/wheatslip/wheatslip/admission/closures.py
@@ -1,17 +1,17 @@
-"""Why the gate of one backend server is closed.
+"""Reasons for which the gate of one backend server is closed.
 
-While at least one reason holds, no request may start. An arrival is refused for the first one
-that holds, in the order of `ClosedBy`:
+While at least one reason is active, no request may start. A new request is refused for the
+first active reason in the order of `ClosedBy`:
 
-| reason | holds from | until | refused as |
+| reason | active from | until | refused as |
 |---|---|---|---|
-| zone unknown | the start | the zone drains are known | `zone-emptied` |
+| zone unknown | startup | the zone drains are known | `zone-emptied` |
 | zone drained | an operator drains the server's zone | it is restored | `zone-emptied` |
-| server unknown | the start, or an answer of a server that is not the registered one \
+| server unknown | startup, or a response of a server that is not the registered one \
 | a server registers | `not-ready` |
-| server leaves | the server or an operator says so | a server registers, or the stop is taken \
-back | `draining` |
-| server lost | connections fail several times in a row | it answers | `unreachable` |
+| server leaves | the server or an operator announces its stop | a server registers, or the \
+stop is cancelled | `draining` |
+| server lost | several connections in a row fail | it responds | `unreachable` |
 
 Only the methods of the daemon's `Gate` change the reasons.
 """
@@ -24,10 +24,10 @@
 
 
 class ClosedBy(StrEnum):
-    """A reason for which a gate is closed, the one that is named first at the top."""
+    """A reason for which a gate is closed, in descending order of precedence."""
 
-    # The zone may be drained, so callers get the same answer, byte for byte, as if
-    # it were; another zone serves them.
+    # The zone may be drained, so the refusal is byte for byte the same as for a drained zone,
+    # and callers use another zone.
     ZONE_UNKNOWN = "zone-unknown"
     ZONE_DRAINED = "zone-drained"
     SERVER_UNKNOWN = "server-unknown"
@@ -36,7 +36,7 @@
 
     @property
     def refusal(self) -> NotRun:
-        """The refusal of an arrival."""
+        """The refusal that a new request gets."""
         return _REFUSALS[self]
 
 
@@ -51,14 +51,13 @@
 
 @dataclass(slots=True)
 class Closures:
-    """The reasons that hold now, in the order of `ClosedBy`; the gate is open if none does."""
+    """The active reasons in the order of `ClosedBy`; the gate is open if there are none."""
 
     holding: tuple[ClosedBy, ...] = ()
 
     def add(self, reason: ClosedBy) -> None:
-        """The reason holds from now on."""
         self.holding = tuple(r for r in ClosedBy if r is reason or r in self.holding)
 
     def remove(self, reason: ClosedBy) -> None:
-        """The reason does not hold any more, if it did."""
+        """Removes a reason if it is active."""
         self.holding = tuple(r for r in self.holding if r is not reason)
--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -1,38 +1,39 @@
-"""How many requests may start at a cold backend server in any second.
+"""Rate limit for the requests that start at a cold backend server.
 
-Load pattern: a server that has just started bears few requests a second. Well above that it
-fails, comes back cold, and fails again for as long as its callers press as before. The gate is
-the only way to the server, so the gate holds the rate.
+A server that has just started handles few requests per second. At a much higher rate it fails,
+restarts cold, and fails again until its callers send less. All requests to the server go
+through its gate, so the gate enforces the rate.
 
-The rules, in the order in which they are met:
+The rules in the order in which they apply:
 
-| rule | then |
+| condition | result |
 |---|---|
-| the pool has no bound, or the server is not cold | a request may start at once |
-| as many as the rate and the burst allow have started within the last second | it waits until \
-the first of them is a second old |
-| the starts are ahead of their even spacing by more than the burst | it waits for its place |
-
-The bound holds for any second, wherever it begins. Starts are spaced evenly with a small burst
-on top, so that a daemon which restarts within that second, and does not know the starts before,
-stays below the bound too: it needs a third of a second to start again.
+| the pool has no limit, or the server is not cold | the request may start at once |
+| the number of starts within the last second has reached the limit | it waits until the first \
+of them is one second old |
+| the starts are ahead of their even spacing by more than the burst | it waits for the next \
+evenly spaced start |
+
+The limit applies to any window of one second. Starts are spaced evenly, with a small burst, so
+that a daemon that restarts within such a window stays below the limit too, although it does not
+know the earlier starts: a restart takes a third of a second.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-WINDOW = 1.0  # seconds; the platform bounds a cold server by the second
-# Part of the pool's slack that is used for a burst. More leaves no room for starts that a new
-# connection holds up: a quarter of a second's may reach the server together
-# (`connect-timeout`). Less leaves slots idle.
-BURST_SHARE = 0.5
+WINDOW_SECONDS = 1.0  # the platform limits the requests per second at a cold server
+# Part of the pool's slack that is used for a burst. The rest is for starts that are delayed by
+# a new connection: those of up to a quarter of a second may reach the server together
+# (`connect-timeout`).
+BURST_SHARE_OF_SLACK = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ColdRate:
-    """What a cold server gets: `per_second` starts evenly spaced, and `burst` at once.
+    """Rate limit of a cold server: `per_second` evenly spaced starts, and `burst` at once.
 
-    `seconds` is how long a server counts as cold that has not reported how long it is.
+    `seconds` is how long a server counts as cold if it has not reported the time itself.
     """
 
     seconds: float
@@ -41,82 +42,83 @@
 
     @property
     def spacing(self) -> float:
-        """Seconds from one start to the next."""
+        """Seconds between two starts."""
         return 1.0 / self.per_second
 
     @property
-    def in_any_second(self) -> int:
-        """Starts in a second, at most."""
+    def max_per_second(self) -> int:
+        """Largest number of starts in any second."""
         return int(self.per_second + self.burst)
 
 
 def cold_rate(seconds: float, per_second: float, overage: float, slack: float) -> ColdRate:
-    """The rate for a server that must not get more than `per_second` times `overage` and
-    `slack` requests in any second.
+    """Returns the rate limit for a server that must not get more than `per_second * overage +
+    slack` requests in any second.
     """
-    return ColdRate(seconds, per_second * overage, max(1.0, BURST_SHARE * slack))
+    return ColdRate(seconds, per_second * overage, max(1.0, BURST_SHARE_OF_SLACK * slack))
 
 
 @dataclass(slots=True)
-class ColdStarts:
-    """Whether one server is cold, and when a request may start. Times in seconds, monotonic."""
+class ColdStartLimiter:
+    """Limits the starts at one server while it is cold. Times in seconds, monotonic."""
 
-    rate: ColdRate | None = None  # None: its pool has no bound
+    rate: ColdRate | None = None  # None: its pool has no limit
     _reported_until: float = float("-inf")
     _assumed_until: float = float("-inf")
-    _next_free: float = float("-inf")  # when the next evenly spaced start is due
-    # The latest starts, also those while it was warm: they may lie within the same second.
+    _next_start_due: float = float("-inf")  # when the next evenly spaced start is due
+    # The latest starts, including those at the warm server, which may lie in the same second.
     _starts: deque[float] = field(default_factory=deque)
 
     def bound(self, rate: ColdRate | None) -> None:
-        """Take over the rate of the pool."""
+        """Sets the rate limit of the pool."""
         self.rate = rate
-        self._starts = deque(self._starts, maxlen=rate.in_any_second if rate else 0)
+        self._starts = deque(self._starts, maxlen=rate.max_per_second if rate else 0)
 
     def reported(self, remaining: float, now: float) -> None:
-        """The server reports that it stays cold for `remaining` seconds.
+        """Handles a report that the server stays cold for another `remaining` seconds.
 
-        A report of 0 does not end an earlier one: it may be older, and the earlier one runs
-        out by itself.
+        A report of 0 does not cancel an earlier one: it may be older, and the earlier one
+        expires anyway.
         """
         if remaining > 0:
             self._reported_until = max(self._reported_until, now + remaining)
 
     def assume(self, now: float) -> None:
-        """The server may have turned cold without a report: it counts as cold until probed."""
+        """Treats the server as cold until it is probed, as it may have become cold without a
+        report.
+        """
         if self.rate is not None:
             self._assumed_until = now + self.rate.seconds
 
     def probed(self) -> None:
-        """The server answered a probe, so nothing needs to be assumed."""
+        """Stops treating the server as cold by assumption after it has answered a probe."""
         self._assumed_until = float("-inf")
 
     def replaced(self) -> None:
-        """Another server has come: reports of the one before don't count."""
+        """Discards the state of the previous server after another one has replaced it."""
         self._reported_until = float("-inf")
         self._assumed_until = float("-inf")
 
     def is_cold(self, now: float) -> bool:
-        """Whether the bound applies."""
+        """Whether the rate limit applies."""
         return self.rate is not None and now < max(self._reported_until, self._assumed_until)
 
     def is_assumed(self, now: float) -> bool:
-        """Whether the server counts as cold until it is probed."""
+        """Whether the server is treated as cold until it is probed."""
         return self.rate is not None and now < self._assumed_until
 
     def wait(self, ahead: int, now: float) -> float:
-        """Seconds until a request may start that has `ahead` others before it."""
+        """Returns the seconds until a request with `ahead` others before it may start."""
         rate = self.rate
         if rate is None or not self.is_cold(now):
             return 0.0
-        soonest = self._next_free - (rate.burst - 1.0) * rate.spacing
+        earliest = self._next_start_due - (rate.burst - 1.0) * rate.spacing
         if len(self._starts) == self._starts.maxlen:
-            soonest = max(soonest, self._starts[0] + WINDOW)
-        return max(0.0, soonest - now) + ahead * rate.spacing
+            earliest = max(earliest, self._starts[0] + WINDOW_SECONDS)
+        return max(0.0, earliest - now) + ahead * rate.spacing
 
     def on_start(self, now: float) -> None:
-        """A request starts."""
         if self.rate is None:
             return
         self._starts.append(now)
-        self._next_free = max(self._next_free, now) + self.rate.spacing
+        self._next_start_due = max(self._next_start_due, now) + self.rate.spacing
--- a/packages/wheatslip/wheatslip/admission/slowserver.py
+++ b/packages/wheatslip/wheatslip/admission/slowserver.py
@@ -1,73 +1,75 @@
-"""What a gate does while its backend server is slow, or may be.
+"""Rules for a gate whose backend server is or may be slow.
 
-The words are defined in `wheatslip.speed`. Each rule answers one question:
+`wheatslip.speed` defines the terms. Each rule answers one question:
 
-| rule | question | asked |
+| rule | question | evaluated |
 |---|---|---|
-| `goes_elsewhere` | should another server rather take the call? | on arrival, and while it \
-waits once the server turns slow; if the sender has others to try |
-| `waits_out` | should it wait until a slow spell is over? | before each start |
-| `gain_of_probing` | what is gained if the server is probed first? | before a start by an old \
-report |
+| `should_try_elsewhere` | should another server take the call? | on arrival, and for waiting \
+calls when the server becomes slow, if the sender can try others |
+| `should_wait_out_slow_period` | should the call wait until a slow period is over? | before \
+each start |
+| `gain_of_probing` | what is the benefit of probing the server first? | before a start, if \
+the last report is old |
 | `is_probe_due` | should the server be probed without a request? | while it is slow |
 
-Load pattern: work that starts in a slow spell takes some times as long and holds its slot as
-long, so requests that could be answered in time elsewhere or a moment later miss their target,
-and those behind them too.
+A request that starts in a slow period takes several times as long and occupies its slot for
+that time. Without these rules requests that could be answered in time by another server, or a
+moment later, would miss their target and delay those behind them.
 """
 
 from wheatslip.admission.timing import ServiceTiming
 from wheatslip.call import ANY_WAIT, Call
 
-# Part of the time left to its target that a call may take on a slow server. Higher, it stays
-# though the estimate may be too short; lower, it goes elsewhere for nothing, which has its
-# price.
-CLOSE_MISS = 0.9
-# What a needless refusal at a server that has become fast again costs, as a part of what an
-# answer within its target is worth: a try elsewhere, or a wait until the server is probed.
-REFUSAL_LOSS = 0.1
+# Largest part of the time left to its target that a call may take on a slow server; below 1 to
+# allow for the error of the estimate.
+MAX_SHARE_OF_TARGET = 0.9
+# Cost of a refusal although the server has become fast again (another attempt, or a wait until
+# the server is probed), as a fraction of the value of a response within its target.
+NEEDLESS_REFUSAL_COST = 0.1
 
 
-def goes_elsewhere(timing: ServiceTiming, call: Call, max_wait: float, now: float) -> bool:
-    """Whether the server is so slow that another one should take a call, whose sender would
-    rather try elsewhere than wait for `max_wait` seconds.
+def should_try_elsewhere(
+    timing: ServiceTiming, call: Call, max_wait: float, now: float
+) -> bool:
+    """Whether the server is so slow that another one should take the call. `max_wait` is the
+    longest wait in seconds for which the sender prefers this server over another one.
     """
     if not timing.is_slow or max_wait == ANY_WAIT:
         return False
     if call.target == ANY_WAIT:
-        return (timing.slowness - 1.0) * timing.usual_time(call, now) > max_wait
-    # Slow or not, an answer within the target is as good as any.
-    return timing.present_time(call, now) > CLOSE_MISS * (call.target - now)
+        return (timing.slowness - 1.0) * timing.usual_call_time(call, now) > max_wait
+    # A call that meets its target stays, even if another server would be faster.
+    return timing.current_call_time(call, now) > MAX_SHARE_OF_TARGET * (call.target - now)
 
 
-def waits_out(timing: ServiceTiming, call: Call, now: float) -> bool:
-    """Whether a call should wait until a slow spell is over: started now it would miss its
-    target, after the spell it would not, and until then it would hold a slot for long.
+def should_wait_out_slow_period(timing: ServiceTiming, call: Call, now: float) -> bool:
+    """Whether a call should wait until a slow period is over. This is so if it would miss its
+    target (and occupy a slot for long) when started now, but not after the slow period.
     """
-    if not timing.in_slow_spell or call.target == ANY_WAIT:
+    if not timing.in_slow_period or call.target == ANY_WAIT:
         return False
-    if now + timing.base_time(call, now) > call.target:
+    if now + timing.base_call_time(call, now) > call.target:
         return False
-    return call.target < now + timing.present_time(call, now)
+    return call.target < now + timing.current_call_time(call, now)
 
 
 def gain_of_probing(timing: ServiceTiming, call: Call, now: float) -> float:
-    """What is saved on average if the server is probed before a call starts that could start
-    now, as a part of what an answer within its target is worth.
+    """Returns the expected benefit of probing the server before a call starts that could start
+    now, as a fraction of the value of a response within its target.
 
-    Only a call gains that meets its target if the server is fast, and misses it if slow: a
-    probe may spare it a slow start, or a refusal by an old report.
+    It is above 0 only for a call that meets its target on a fast server and misses it on a slow
+    one: the probe may prevent a slow start, or a refusal that is based on an old report.
     """
     left = min(call.target, call.deadline) - now
-    base_time = timing.base_time(call, now)
-    if base_time > left or base_time * timing.speed.slow_factor <= left:
+    base_call_time = timing.base_call_time(call, now)
+    if base_call_time > left or base_call_time * timing.speed.slow_factor <= left:
         return 0.0
-    slow = timing.speed.slow_chance(now)
-    return (1.0 - slow) * REFUSAL_LOSS if timing.in_slow_spell else slow
+    slow = timing.speed.slow_probability(now)
+    return (1.0 - slow) * NEEDLESS_REFUSAL_COST if timing.in_slow_period else slow
 
 
 def is_probe_due(timing: ServiceTiming, reported_at: float, now: float) -> bool:
-    """Whether a slow spell is likely to be over since the last report, so that a probe may tell
-    the entries that the server is fast again.
+    """Whether a slow period has probably ended since the last report, so that a probe can
+    inform the entries that the server is fast again.
     """
-    return now - reported_at >= timing.speed.mean_slow_spell
+    return now - reported_at >= timing.speed.mean_slow_period_seconds
--- a/packages/wheatslip/wheatslip/admission/ticket.py
+++ b/packages/wheatslip/wheatslip/admission/ticket.py
@@ -1,30 +1,29 @@
-"""A request at the gate, and the bounds of the gate."""
+"""A request at a gate, and the settings of a gate."""
 
 from dataclasses import dataclass
 
 from wheatslip.call import ANY_WAIT, Call
 
-# Part of the starts that urgent requests may take while others wait. More starves the others,
-# less makes urgent ones wait.
+# Largest part of the starts that urgent requests may take while others wait.
 DEFAULT_URGENT_SHARE = 0.25
 
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One request at the gate. `started` is None while it waits."""
+    """One request at a gate. `started` is None while it waits."""
 
     call: Call
     arrived: float
     started: float | None = None
-    # Of the backend server when the request started; None: not known.
+    # Slowness of the backend server when the request started; None if it was not known.
     slowness: float | None = 1.0
-    max_wait: float = ANY_WAIT  # what it was sent with; see `Admission.arrive`
-    late: bool = False  # it will miss its target, so it goes after those that may meet theirs
+    max_wait: float = ANY_WAIT  # seconds; see `Admission.arrive`
+    is_late: bool = False  # will miss its target, so it starts after all that may meet theirs
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Bounds of one gate. `slots` 0 means: find the concurrency limit."""
+    """Settings of one gate. If `slots` is 0, the concurrency limit is adaptive."""
 
     slots: int = 0
     queue: int = 64
--- a/packages/wheatslip/wheatslip/fairqueue.py
+++ b/packages/wheatslip/wheatslip/fairqueue.py
@@ -1,7 +1,7 @@
-"""A queue that is fair between workspaces: start-time fair queueing over deadline order.
+"""A queue with start-time fair queueing between workspaces and deadline order within each.
 
-Urgent items go first, within a bounded share of the starts; they count for no workspace's
-share. Within one workspace the item with the earliest deadline goes first.
+Urgent items are dequeued first, up to a bounded share of all items; they don't count for the
+share of their workspace.
 """
 
 import heapq
@@ -11,16 +11,14 @@
 
 T = TypeVar("T")
 
-# Workspaces whose place in virtual time is remembered before those that have caught up are
-# dropped; fewer only drop them more often.
-MAX_LEFT_OFF = 1000
-# Urgent starts that may be saved up while none waits. More would let a burst of urgent items
-# hold up the others for longer.
+# Start tags of idle workspaces that are kept before those in the past are removed.
+MAX_IDLE_START_TAGS = 1000
+# Urgent items that may be dequeued in a row after a time without urgent items.
 MAX_URGENT_CREDIT = 2.0
 
 
-class _Lane(Generic[T]):
-    """One workspace's items by deadline. `start_tag` is its place in virtual time."""
+class _WorkspaceQueue(Generic[T]):
+    """Items of one workspace by deadline. `start_tag` is the virtual time of its next item."""
 
     __slots__ = ("heap", "start_tag")
 
@@ -30,15 +28,17 @@
 
 
 class FairQueue(Generic[T]):
-    """Waiting items of many workspaces."""
+    """Queued items of many workspaces."""
 
     def __init__(self, urgent_share: float):
-        """`urgent_share` bounds urgent starts, as a part of all, while others wait."""
+        """`urgent_share` is the largest part of urgent items among those dequeued while others
+        wait.
+        """
         self.urgent_share = urgent_share
         self.shares: dict[str, float] = {}
-        self._lanes: dict[str, _Lane[T]] = {}
-        # Where workspaces that have nothing waiting left off in virtual time.
-        self._left_off: dict[str, float] = {}
+        self._queues: dict[str, _WorkspaceQueue[T]] = {}
+        # Start tags of workspaces without queued items, kept until virtual time reaches them.
+        self._idle_start_tags: dict[str, float] = {}
         self._urgent: list[tuple[float, int, str, T]] = []
         self._sequence = count()
         self._virtual_time = 0.0
@@ -50,59 +50,59 @@
         return self._size
 
     def __iter__(self) -> Iterator[T]:
-        for lane in self._lanes.values():
-            for _, _, item in lane.heap:
+        for queue in self._queues.values():
+            for _, _, item in queue.heap:
                 yield item
         for _, _, _, item in self._urgent:
             yield item
 
     def push(self, workspace: str, deadline: float, item: T, *, urgent: bool = False) -> None:
-        """Add an item; `deadline` in seconds orders it within its workspace."""
+        """Adds an item, ordered within its workspace by `deadline` (seconds)."""
         self._size += 1
         if urgent:
             heapq.heappush(self._urgent, (deadline, next(self._sequence), workspace, item))
             return
-        lane = self._lanes.get(workspace)
-        if lane is None:
-            lane = self._lanes[workspace] = _Lane()
-            lane.start_tag = max(self._virtual_time, self._left_off.pop(workspace, 0.0))
-        heapq.heappush(lane.heap, (deadline, next(self._sequence), item))
+        queue = self._queues.get(workspace)
+        if queue is None:
+            queue = self._queues[workspace] = _WorkspaceQueue()
+            queue.start_tag = max(self._virtual_time, self._idle_start_tags.pop(workspace, 0.0))
+        heapq.heappush(queue.heap, (deadline, next(self._sequence), item))
 
     def pop(self) -> T | None:
-        """The item that goes next, None if none waits."""
-        if self._urgent and (not self._lanes or self._urgent_credit >= 1.0):
+        """Removes and returns the next item, or None if the queue is empty."""
+        if self._urgent and (not self._queues or self._urgent_credit >= 1.0):
             self._urgent_credit = max(0.0, self._urgent_credit - 1.0)
             self._size -= 1
             return heapq.heappop(self._urgent)[3]
-        if not self._lanes:
+        if not self._queues:
             return None
-        # Each normal start earns the urgent ones their bounded part.
+        # Each item that is not urgent adds credit for urgent ones, up to their share.
         earned = self.urgent_share / max(1e-9, 1.0 - self.urgent_share)
         self._urgent_credit = min(MAX_URGENT_CREDIT, self._urgent_credit + earned)
-        workspace = min(self._lanes, key=lambda name: self._lanes[name].start_tag)
-        return self._pop_lane(workspace)
+        workspace = min(self._queues, key=lambda name: self._queues[name].start_tag)
+        return self._pop_from(workspace)
 
-    def ahead_of(self, workspace: str, *, urgent: bool = False) -> int:
-        """How many items would go before a new one of `workspace`, about."""
+    def count_ahead(self, workspace: str, *, urgent: bool = False) -> int:
+        """Estimates how many items would be dequeued before a new one of `workspace`."""
         if urgent:
             return len(self._urgent)
-        own = self._lanes.get(workspace)
+        own = self._queues.get(workspace)
         backlog = len(own.heap) if own else 0
         starts = (backlog + 1) / self._share(workspace)
         ahead = backlog + len(self._urgent)
-        for name, lane in self._lanes.items():
+        for name, queue in self._queues.items():
             if name != workspace:
-                ahead += min(len(lane.heap), int(starts * self._share(name)))
+                ahead += min(len(queue.heap), int(starts * self._share(name)))
         return ahead
 
     def remove(self, workspace: str, item: T) -> bool:
-        """Take out a waiting item; False if it is not there."""
-        lane = self._lanes.get(workspace)
-        if lane is not None:
-            for index, entry in enumerate(lane.heap):
+        """Removes a queued item; returns False if it is not in the queue."""
+        queue = self._queues.get(workspace)
+        if queue is not None:
+            for index, entry in enumerate(queue.heap):
                 if entry[2] is item:
-                    self._delete(lane.heap, index)
-                    self._forget_if_empty(workspace, lane)
+                    self._delete(queue.heap, index)
+                    self._remove_if_empty(workspace, queue)
                     return True
         for index, urgent_entry in enumerate(self._urgent):
             if urgent_entry[3] is item:
@@ -111,28 +111,28 @@
         return False
 
     def evict_for(self, workspace: str) -> bool:
-        """Make room for an item of `workspace` at the cost of the one with most waiting for its
-        share.
+        """Evicts an item to make space for one of `workspace`.
 
-        False if that would be `workspace` itself. The evicted item is the one with the
-        latest deadline; see `take_evicted`.
+        Evicts the item with the latest deadline from the workspace with the largest backlog
+        relative to its share; `take_evicted` returns it. Returns False without an eviction if
+        `workspace` has the largest backlog itself.
         """
-        if not self._lanes:
+        if not self._queues:
             return False
-        longest = max(self._lanes, key=self._backlog)
-        own = self._lanes.get(workspace)
+        longest = max(self._queues, key=self._backlog)
+        own = self._queues.get(workspace)
         own_backlog = (len(own.heap) + 1 if own else 1) / self._share(workspace)
         if longest == workspace or self._backlog(longest) <= own_backlog:
             return False
-        lane = self._lanes[longest]
-        index = max(range(len(lane.heap)), key=lambda i: lane.heap[i][:2])
-        self._evicted.append(lane.heap[index][2])
-        self._delete(lane.heap, index)
-        self._forget_if_empty(longest, lane)
+        queue = self._queues[longest]
+        index = max(range(len(queue.heap)), key=lambda i: queue.heap[i][:2])
+        self._evicted.append(queue.heap[index][2])
+        self._delete(queue.heap, index)
+        self._remove_if_empty(longest, queue)
         return True
 
     def take_evicted(self) -> list[T]:
-        """The items evicted since the last call."""
+        """Returns the items evicted since the last call."""
         evicted, self._evicted = self._evicted, []
         return evicted
 
@@ -140,26 +140,28 @@
         return self.shares.get(workspace, 1.0)
 
     def _backlog(self, workspace: str) -> float:
-        return len(self._lanes[workspace].heap) / self._share(workspace)
+        return len(self._queues[workspace].heap) / self._share(workspace)
 
-    def _pop_lane(self, workspace: str) -> T:
-        lane = self._lanes[workspace]
-        self._virtual_time = lane.start_tag
-        lane.start_tag += 1.0 / self._share(workspace)
-        item = heapq.heappop(lane.heap)[2]
+    def _pop_from(self, workspace: str) -> T:
+        queue = self._queues[workspace]
+        self._virtual_time = queue.start_tag
+        queue.start_tag += 1.0 / self._share(workspace)
+        item = heapq.heappop(queue.heap)[2]
         self._size -= 1
-        self._forget_if_empty(workspace, lane)
+        self._remove_if_empty(workspace, queue)
         return item
 
-    def _forget_if_empty(self, workspace: str, lane: _Lane[T]) -> None:
-        if lane.heap:
+    def _remove_if_empty(self, workspace: str, queue: _WorkspaceQueue[T]) -> None:
+        if queue.heap:
             return
-        del self._lanes[workspace]
-        if lane.start_tag > self._virtual_time:
-            self._left_off[workspace] = lane.start_tag
-        if len(self._left_off) > MAX_LEFT_OFF:
+        del self._queues[workspace]
+        if queue.start_tag > self._virtual_time:
+            self._idle_start_tags[workspace] = queue.start_tag
+        if len(self._idle_start_tags) > MAX_IDLE_START_TAGS:
             now = self._virtual_time
-            self._left_off = {name: tag for name, tag in self._left_off.items() if tag > now}
+            self._idle_start_tags = {
+                name: tag for name, tag in self._idle_start_tags.items() if tag > now
+            }
 
     def _delete(self, heap: list, index: int) -> None:  # type: ignore[type-arg]
         heap[index] = heap[-1]
--- a/packages/wheatslip/wheatslip/limit.py
+++ b/packages/wheatslip/wheatslip/limit.py
@@ -1,62 +1,61 @@
-"""The concurrency limit of one backend server, found from what its answers take.
+"""Adaptive concurrency limit of one backend server, derived from its service times.
 
-While there is room, a request takes the same time whatever the concurrency; past the
-server's slots the time grows with it. The limit goes up while saturated answers take about
-as long as unhurried ones, and down when they take clearly longer.
+The service time does not depend on the concurrency until all slots of the server are in use;
+beyond that it grows. The limit is raised while service times at the limit are close to the
+baseline, the service time without contention, and lowered when they are clearly longer.
 """
 
 from dataclasses import dataclass
 
-# Requests that may run at one time before anything is learned. Higher, a small server is
-# overrun at first; lower, a large one idles until the limit has grown.
+# Limits of concurrent requests.
 INITIAL_LIMIT = 8
-# Bounds of the limit. Below the lower one a server that was slow for a while would serve one
-# request at a time; beyond the upper one the limit protects nothing.
-MIN_LIMIT = 2
+MIN_LIMIT = 2  # avoids serial execution after the server was slow for some time
 MAX_LIMIT = 1000
-# Weight of one answer in the service time: about the last ten count. Less follows a change
-# late, more follows single answers.
-SERVICE_WEIGHT = 0.1
-# Mean time of a window / unhurried time, below which the limit grows and above which it
-# shrinks. Nearer to each other the limit swings, further apart it stays where it is.
-GROW_BELOW = 1.25
-SHRINK_ABOVE = 1.6
-# By which a limit shrinks in one window: smaller gives up slots for one bad window, larger
-# leaves an overload standing.
-SHRINK_FACTOR = 0.9
-# Part by which the unhurried time follows a slower window, so that a lasting slow-down becomes
-# the new normal. More forgets the unhurried time during an overload.
-BASELINE_DRIFT = 0.02
-# Seconds that a request is taken to last until the first answer.
+# Weight of one response in the moving average of the service time.
+SERVICE_TIME_WEIGHT = 0.1
+# Ratios of a window's mean service time to the baseline below which the limit grows and above
+# which it shrinks.
+GROW_BELOW_RATIO = 1.25
+SHRINK_ABOVE_RATIO = 1.6
+SHRINK_FACTOR = 0.9  # applied to the limit once per window
+# Weight of a slower window in the baseline, so that the baseline adapts to a lasting slow-down
+# but not to a short overload.
+BASELINE_WEIGHT = 0.02
+# Service time in seconds that is assumed before the first response.
 INITIAL_SERVICE = 0.005
 
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """The limit, and the service time in seconds. `slots` above 0 fixes the limit."""
+    """Concurrency limit, and the mean service time in seconds.
+
+    If `slots` is above 0, the limit is fixed at that value.
+    """
 
     slots: int = 0
-    service: float = INITIAL_SERVICE
+    service_time: float = INITIAL_SERVICE
     _value: float = INITIAL_LIMIT
     _baseline: float = 0.0
-    _seen: bool = False
+    _has_samples: bool = False
     _window_sum: float = 0.0
     _window_count: int = 0
     _window_saturated: int = 0
 
     @property
     def value(self) -> int:
-        """Requests that may run at one time."""
+        """Number of requests that may run concurrently."""
         return self.slots or int(self._value)
 
-    def observe(self, took: float, *, saturated: bool) -> None:
-        """One answer took `took` seconds; `saturated`: the limit kept others from running."""
-        weight = SERVICE_WEIGHT if self._seen else 1.0
-        self._seen = True
-        self.service += weight * (took - self.service)
+    def observe(self, seconds: float, *, saturated: bool) -> None:
+        """Records the service time of one response; `saturated` tells whether the limit kept
+        other requests from starting.
+        """
+        weight = SERVICE_TIME_WEIGHT if self._has_samples else 1.0
+        self._has_samples = True
+        self.service_time += weight * (seconds - self.service_time)
         if self.slots:
             return
-        self._window_sum += took
+        self._window_sum += seconds
         self._window_count += 1
         self._window_saturated += saturated
         if self._window_count >= 2 * self.value:
@@ -71,9 +70,9 @@
         if not self._baseline or mean < self._baseline:
             self._baseline = mean
         else:
-            self._baseline += BASELINE_DRIFT * (mean - self._baseline)
+            self._baseline += BASELINE_WEIGHT * (mean - self._baseline)
         ratio = mean / self._baseline
-        if ratio > SHRINK_ABOVE:
+        if ratio > SHRINK_ABOVE_RATIO:
             self._value = max(MIN_LIMIT, self._value * SHRINK_FACTOR)
-        elif ratio < GROW_BELOW and was_saturated:
+        elif ratio < GROW_BELOW_RATIO and was_saturated:
             self._value = min(MAX_LIMIT, self._value + max(1.0, self._value**0.5 / 2))
--- a/packages/wheatslip/wheatslip/servicetimes.py
+++ b/packages/wheatslip/wheatslip/servicetimes.py
@@ -1,28 +1,28 @@
-"""What each kind of request takes at one backend server when it is as fast as usual."""
+"""Mean service time of each kind of request at the usual speed of one backend server."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-# Weight of one answer in the mean of its kind: about the last ten count.
-WEIGHT = 0.1
-# Kinds that are remembered, so that made-up names don't take memory without bound; the kind
-# that was seen first goes first.
+MEAN_WEIGHT = 0.1  # weight of one response in the moving average of its kind
+# Limits memory, as callers may send any name; the oldest kind is evicted.
 MAX_KINDS = 1000
 
 
 @dataclass(slots=True)
 class ServiceTimes:
-    """Moving means by kind, in seconds."""
+    """Moving averages by kind, in seconds."""
 
     _means: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
-    def observe(self, kind: str, took: float) -> None:
-        """One request of a kind took so long, at the usual speed."""
+    def observe(self, kind: str, service_time: float) -> None:
+        """Records a service time, in seconds at the usual speed of the server."""
         mean = self._means.get(kind)
-        self._means[kind] = took if mean is None else mean + WEIGHT * (took - mean)
+        self._means[kind] = (
+            service_time if mean is None else mean + MEAN_WEIGHT * (service_time - mean)
+        )
         if len(self._means) > MAX_KINDS:
             self._means.popitem(last=False)
 
-    def of(self, kind: str) -> float | None:
-        """The mean of a kind, None before its first answer."""
+    def mean(self, kind: str) -> float | None:
+        """Returns the mean of a kind, or None before its first response."""
         return self._means.get(kind)
--- a/packages/wheatslip/wheatslip/speed.py
+++ b/packages/wheatslip/wheatslip/speed.py
@@ -1,101 +1,101 @@
-"""How fast one backend server works, and how likely it is that its last report still holds.
+"""Speed of one backend server, and how likely it is that its last report is still valid.
 
-Load pattern: a server that shares its machine with others turns slow for some tenths of a
-second, again and again, and reports its speed only with its answers.
+A server that shares its machine with others repeatedly becomes slow for some tenths of a
+second. It reports its speed only with its responses.
 
-| word | meaning |
+| term | meaning |
 |---|---|
-| slowness | present service time / usual service time; 1 is as fast as usual, 4 takes four \
-times as long |
-| base slowness | the slowness outside of slow spells, above 1 for a server that has just \
-started or is in trouble |
-| slow spell | a stretch of time in which the slowness is at least `SLOW` times the base one |
-| slow factor | slowness within slow spells / base slowness, mean |
-| slow | a slowness of at least `SLOW`, in a slow spell or not |
-
-`SpeedModel` learns these from the reports. What a gate does with a slow server is decided in
-`wheatslip.admission.slowserver`. Pure code.
+| slowness | current service time / usual service time: 1 is the usual speed, at 4 a request \
+takes four times as long |
+| base slowness | the slowness outside slow periods; above 1 for a server that has just \
+started or has a lasting problem |
+| slow period | a time in which the slowness is at least `SLOW_THRESHOLD` times the base \
+slowness |
+| slow factor | mean of slowness / base slowness during slow periods |
+| slow | a slowness of at least `SLOW_THRESHOLD`, in a slow period or not |
+
+`SpeedModel` estimates these values from the reports. `wheatslip.admission.slowserver` decides
+how a gate treats a slow server. This module does no I/O.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 from math import exp
 
-# Slowness from which on a server counts as slow, and is spared what others can take. Lower,
-# ordinary noise counts as slow; higher, work goes to servers that are worth avoiding.
-SLOW = 1.3
-USUAL = 1.0  # slowness of a server that is as fast as usual
-# Seconds of reports whose least slowness is the base slowness. Shorter than a slow spell, the
-# spell itself would become the base; longer, a server that has warmed up counts as slow too
-# long. Slow spells seen so far hardly ever last as long.
-BASE_MEMORY = 1.0
-# Seconds of close reports before they may raise the base slowness: the first report of a server
-# may come from a slow spell.
-BASE_SURE_AFTER = 0.2
-# Two reports further apart than this (seconds) may have a whole spell between them, so they say
-# nothing of how long one lasts. Slow spells seen so far last 0.1 to 0.4 s.
-CLOSE_REPORTS = 0.25
-# Seconds of each state that are remembered; older ones count half. That is some dozens of
-# spells: fewer make the chances noisy, more adapt late.
-SPELL_MEMORY = 20.0
-# Weight of one report in the slow factor: about the last ten count.
-SLOW_FACTOR_WEIGHT = 0.1
-
-# What is assumed of a server that has reported little, and for how many seconds of reports the
-# assumption counts. Near what was seen: spells of 0.3 s, a quarter or a third of the time, four
-# times as slow.
-ASSUMED_FAST_SPELL = 1.0  # seconds
-ASSUMED_SLOW_SPELL = 0.2  # seconds
+SLOW_THRESHOLD = 1.3  # slowness from which a server counts as slow
+USUAL_SLOWNESS = 1.0
+# The base slowness is the lowest one reported within this window. The window must be longer
+# than a slow period, which would otherwise become the base.
+BASE_WINDOW_SECONDS = 1.0
+# Reports must cover at least this time before they may raise the base slowness, since the first
+# report of a server may come from a slow period.
+BASE_MIN_SPAN_SECONDS = 0.2
+# A whole period may lie between two reports further apart than this, so their states are not
+# used to estimate the length of a period.
+MAX_REPORT_GAP_SECONDS = 0.25
+# Observation time per state above which its statistics are halved, to discount old periods.
+MAX_OBSERVED_SECONDS = 20.0
+SLOW_FACTOR_WEIGHT = 0.1  # weight of one report in the moving average
+
+# Initial estimates for a server with few reports, and the observation time that they count as.
+ASSUMED_FAST_PERIOD_SECONDS = 1.0
+ASSUMED_SLOW_PERIOD_SECONDS = 0.2
 ASSUMED_SLOW_FACTOR = 4.0
-ASSUMED_WEIGHT = 0.5  # seconds
+ASSUMED_WEIGHT_SECONDS = 0.5
 
 
 @dataclass(slots=True)
-class _Spells:
-    """How often spells of one state, fast or slow, ended, and for how long it was watched."""
+class _PeriodStatistics:
+    """Number of ended periods of one state, fast or slow, and its total observation time."""
 
     ends: float
-    watched: float  # seconds
+    observed_seconds: float
 
     @property
     def rate(self) -> float:
-        """Ends per second."""
-        return self.ends / self.watched
+        """Ended periods per second in this state."""
+        return self.ends / self.observed_seconds
 
     def observe(self, seconds: float, *, ended: bool) -> None:
-        """The state was seen, and so many seconds later it had ended or not."""
-        self.watched += seconds
+        """Records whether the state had ended `seconds` after it was reported."""
+        self.observed_seconds += seconds
         self.ends += ended
-        if self.watched > SPELL_MEMORY:
-            self.watched /= 2
+        if self.observed_seconds > MAX_OBSERVED_SECONDS:
+            self.observed_seconds /= 2
             self.ends /= 2
 
 
-def _assumed(mean_spell: float) -> _Spells:
-    return _Spells(ends=ASSUMED_WEIGHT / mean_spell, watched=ASSUMED_WEIGHT)
+def _assumed_statistics(mean_seconds: float) -> _PeriodStatistics:
+    return _PeriodStatistics(
+        ends=ASSUMED_WEIGHT_SECONDS / mean_seconds, observed_seconds=ASSUMED_WEIGHT_SECONDS
+    )
 
 
 @dataclass(slots=True)
 class SpeedModel:
-    """One server's speed as a chain of two states, fast and slow. Times in seconds."""
+    """Speed of one server as a Markov chain with the states fast and slow. Times in seconds."""
 
     reported_at: float = float("-inf")
     slow_factor: float = ASSUMED_SLOW_FACTOR
-    _is_slow: bool = False  # by the last report
-    base_slowness: float = USUAL
-    _close_since: float = float("-inf")  # when reports began to come close to each other
-    # Times and slownesses of the reports within `BASE_MEMORY` that are less slow than all
-    # reports after them.
-    _least: deque[tuple[float, float]] = field(default_factory=deque)
-    _fast: _Spells = field(default_factory=lambda: _assumed(ASSUMED_FAST_SPELL))
-    _slow: _Spells = field(default_factory=lambda: _assumed(ASSUMED_SLOW_SPELL))
-
-    def reported(self, slowness: float, now: float) -> None:
-        """The server reports its slowness."""
-        self._learn_base(slowness, now)
-        is_slow = slowness >= SLOW * self.base_slowness
+    _is_slow: bool = False  # state in the last report
+    base_slowness: float = USUAL_SLOWNESS
+    # First report since the last gap longer than `BASE_WINDOW_SECONDS`.
+    _steady_since: float = float("-inf")
+    # Times and slownesses of the reports within `BASE_WINDOW_SECONDS` that are lower than all
+    # later ones, so the first one is the minimum.
+    _window_minima: deque[tuple[float, float]] = field(default_factory=deque)
+    _fast: _PeriodStatistics = field(
+        default_factory=lambda: _assumed_statistics(ASSUMED_FAST_PERIOD_SECONDS)
+    )
+    _slow: _PeriodStatistics = field(
+        default_factory=lambda: _assumed_statistics(ASSUMED_SLOW_PERIOD_SECONDS)
+    )
+
+    def on_report(self, slowness: float, now: float) -> None:
+        self._update_base_slowness(slowness, now)
+        is_slow = slowness >= SLOW_THRESHOLD * self.base_slowness
         since = now - self.reported_at
-        if 0 < since <= CLOSE_REPORTS:
+        if 0 < since <= MAX_REPORT_GAP_SECONDS:
             state = self._slow if self._is_slow else self._fast
             state.observe(since, ended=is_slow != self._is_slow)
         if is_slow:
@@ -104,34 +104,32 @@
         self._is_slow = is_slow
         self.reported_at = now
 
-    def forget(self) -> None:
-        """Another server has come: reports of the one before say nothing of its speed."""
+    def reset(self) -> None:
+        """Discards the last report and the base slowness when the server was replaced."""
         self.reported_at = float("-inf")
-        self.base_slowness = USUAL
-        self._least.clear()
+        self.base_slowness = USUAL_SLOWNESS
+        self._window_minima.clear()
 
-    def slow_chance(self, now: float) -> float:
-        """The chance, 0 to 1, that the server is slow now."""
+    def slow_probability(self, now: float) -> float:
+        """Returns the probability, from 0 to 1, that the server is slow at `now`."""
         to_slow, to_fast = self._fast.rate, self._slow.rate
         share = to_slow / (to_slow + to_fast)
-        reported = 1.0 if self._is_slow else 0.0
+        last_state = 1.0 if self._is_slow else 0.0
         age = max(0.0, now - self.reported_at)
-        return share + (reported - share) * exp(-(to_slow + to_fast) * age)
-
-    def _learn_base(self, slowness: float, now: float) -> None:
-        """The base slowness is the least one within `BASE_MEMORY`."""
-        if now - self.reported_at > BASE_MEMORY:
-            self._close_since = now
-        while self._least and self._least[-1][1] >= slowness:
-            self._least.pop()
-        self._least.append((now, slowness))
-        while now - self._least[0][0] > BASE_MEMORY:
-            self._least.popleft()
-        least = self._least[0][1]
-        is_sure = now - self._close_since >= BASE_SURE_AFTER
-        self.base_slowness = least if is_sure else min(self.base_slowness, least)
+        return share + (last_state - share) * exp(-(to_slow + to_fast) * age)
+
+    def _update_base_slowness(self, slowness: float, now: float) -> None:
+        if now - self.reported_at > BASE_WINDOW_SECONDS:
+            self._steady_since = now
+        while self._window_minima and self._window_minima[-1][1] >= slowness:
+            self._window_minima.pop()
+        self._window_minima.append((now, slowness))
+        while now - self._window_minima[0][0] > BASE_WINDOW_SECONDS:
+            self._window_minima.popleft()
+        least = self._window_minima[0][1]
+        has_min_span = now - self._steady_since >= BASE_MIN_SPAN_SECONDS
+        self.base_slowness = least if has_min_span else min(self.base_slowness, least)
 
     @property
-    def mean_slow_spell(self) -> float:
-        """Seconds that a slow spell lasts, mean."""
+    def mean_slow_period_seconds(self) -> float:
         return 1.0 / max(self._slow.rate, 1e-3)
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -116,8 +116,8 @@
 
 def test_a_server_that_stopped_answering_is_seen_before_its_first_answer():
     admission, _ = full_gate()
-    assert admission.timing.service_estimate(0.005) == admission.limit.service
-    assert admission.timing.service_estimate(0.5) == 0.5
+    assert admission.timing.current_service_time(0.005) == admission.limit.service_time
+    assert admission.timing.current_service_time(0.5) == 0.5
 
 
 def test_a_full_queue_makes_room_for_who_waits_with_less():
--- a/test/test_coldstarts.py
+++ b/test/test_coldstarts.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wheatslip.admission import Admission, AdmissionSettings, ColdStarts, cold_rate
+from wheatslip.admission import Admission, AdmissionSettings, ColdStartLimiter, cold_rate
 from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslipd.controllers.view import View
@@ -93,7 +93,7 @@
 
 
 def test_starts_before_the_coldness_was_known_count_too():
-    starts = ColdStarts()
+    starts = ColdStartLimiter()
     starts.bound(RATE)
     for number in range(30):
         starts.on_start(0.5 + number * 0.01)  # it was warm, as far as was known
@@ -109,7 +109,7 @@
     )
 )
 def test_the_bound_holds_whatever_is_heard_in_whichever_order(steps):
-    starts = ColdStarts()
+    starts = ColdStartLimiter()
     starts.bound(RATE)
     now = 0.0
     cold_starts = []
@@ -126,11 +126,11 @@
                 starts.probed()
             case "assume":
                 starts.assume(now)
-    assert most_in_any_second(cold_starts) <= RATE.in_any_second < BOUND
+    assert most_in_any_second(cold_starts) <= RATE.max_per_second < BOUND
 
 
 def test_an_older_word_of_warmth_takes_coldness_not_back():
-    starts = ColdStarts()
+    starts = ColdStartLimiter()
     starts.bound(RATE)
     starts.reported(3.0, 1.0)
     starts.reported(0.0, 1.1)
@@ -139,7 +139,7 @@
 
 
 def test_what_is_only_assumed_ends_with_the_servers_answer():
-    starts = ColdStarts()
+    starts = ColdStartLimiter()
     starts.bound(RATE)
     starts.assume(1.0)
     assert starts.is_cold(1.1)
@@ -148,7 +148,7 @@
 
 
 def test_a_server_without_a_rate_has_no_bound():
-    starts = ColdStarts()
+    starts = ColdStartLimiter()
     starts.reported(3.0, 0.0)
     for number in range(100):
         assert starts.wait(0, number * 0.001) == 0
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -122,7 +122,7 @@
     late = admission.arrive(call(target=0.15, hold=ANY_WAIT), 0.0)
     in_time = admission.arrive(call(target=0.9, hold=ANY_WAIT), 0.0)
     (started,) = admission.finish(running, 0.12, worked=True)
-    assert started is in_time and late.late
+    assert started is in_time and late.is_late
     assert admission.finish(in_time, 0.24, worked=True) == [late]
 
 
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wheatslip.admission import REFUSAL_LOSS, Admission, AdmissionSettings, ClosedBy
+from wheatslip.admission import NEEDLESS_REFUSAL_COST, Admission, AdmissionSettings, ClosedBy
 from wheatslip.call import Call, RequestKind
 from wheatslip.slidinglimit import SlidingLimit
 from wheatslip.speed import SpeedModel
@@ -25,7 +25,7 @@
         while now >= ends:
             is_slow = not is_slow
             ends += rng.expovariate(1 / (slow if is_slow else fast))
-        model.reported(factor if is_slow else 1.0, now)
+        model.on_report(factor if is_slow else 1.0, now)
     return now
 
 
@@ -45,13 +45,13 @@
 def test_a_word_on_the_speed_ages_to_the_part_of_the_time_that_the_server_is_slow():
     model = SpeedModel()
     end = switching(model, fast=0.6, slow=0.2, factor=5.0)
-    model.reported(1.0, end)
-    assert model.slow_chance(end) == pytest.approx(0.0)
-    assert model.slow_chance(end + 0.05) < model.slow_chance(end + 0.2) < 0.35
-    assert model.slow_chance(end + 10.0) == pytest.approx(0.25, abs=0.08)
-    model.reported(5.0, end)
-    assert model.slow_chance(end) == pytest.approx(1.0)
-    assert model.mean_slow_spell == pytest.approx(0.2, rel=0.4)
+    model.on_report(1.0, end)
+    assert model.slow_probability(end) == pytest.approx(0.0)
+    assert model.slow_probability(end + 0.05) < model.slow_probability(end + 0.2) < 0.35
+    assert model.slow_probability(end + 10.0) == pytest.approx(0.25, abs=0.08)
+    model.on_report(5.0, end)
+    assert model.slow_probability(end) == pytest.approx(1.0)
+    assert model.mean_slow_period_seconds == pytest.approx(0.2, rel=0.4)
     assert model.slow_factor == pytest.approx(5.0, rel=0.05)
 
 
@@ -59,24 +59,26 @@
     short, long = SpeedModel(), SpeedModel()
     ends = [switching(short, 0.6, 0.2, 4.0), switching(long, 2.4, 0.8, 4.0)]
     for model, end in zip((short, long), ends, strict=True):
-        model.reported(1.0, end)
-    chances = [m.slow_chance(end + 0.05) for m, end in zip((short, long), ends, strict=True)]
+        model.on_report(1.0, end)
+    chances = [
+        m.slow_probability(end + 0.05) for m, end in zip((short, long), ends, strict=True)
+    ]
     assert chances[1] < 0.5 * chances[0]
 
 
 def test_a_server_that_never_turns_slow_is_soon_thought_to_stay_fast():
     model = SpeedModel()
     for tick in range(1, 600):
-        model.reported(1.0, tick / 20)
-    assert model.slow_chance(30.0 + 0.1) < 0.01
+        model.on_report(1.0, tick / 20)
+    assert model.slow_probability(30.0 + 0.1) < 0.01
 
 
 def test_tellings_far_apart_teach_nothing_of_the_stretches():
     model = SpeedModel()
-    before = model.slow_chance(float("inf"))
+    before = model.slow_probability(float("inf"))
     for second in range(100):
-        model.reported(4.0 if second % 2 else 1.0, second * 10.0)
-    assert model.slow_chance(float("inf")) == pytest.approx(before)
+        model.on_report(4.0 if second % 2 else 1.0, second * 10.0)
+    assert model.slow_probability(float("inf")) == pytest.approx(before)
 
 
 @settings(derandomize=True)
@@ -89,9 +91,9 @@
     now = 0.0
     for gap, slowness in tellings:
         now += gap
-        model.reported(slowness, now)
-    assert 0.0 <= model.slow_chance(now + later) <= 1.0
-    assert model.mean_slow_spell > 0
+        model.on_report(slowness, now)
+    assert 0.0 <= model.slow_probability(now + later) <= 1.0
+    assert model.mean_slow_period_seconds > 0
 
 
 def test_asking_gains_with_the_age_of_the_last_word():
@@ -133,7 +135,7 @@
     admission.timing.learn_speed(5.0, 1.0)
     assert admission.gain_of_probing(call(now=1.0), 1.0) == pytest.approx(0.0)
     later = admission.gain_of_probing(call(now=1.5), 1.5)
-    assert 0.0 < later <= REFUSAL_LOSS
+    assert 0.0 < later <= NEEDLESS_REFUSAL_COST
 
 
 def test_of_a_new_server_nothing_is_known_so_asking_gains_most():
@@ -184,7 +186,7 @@
 def test_a_pace_is_forgotten_once_the_server_is_faster():
     model = SpeedModel()
     for tick in range(20):
-        model.reported(2.0, tick * 0.05)
+        model.on_report(2.0, tick * 0.05)
     assert model.base_slowness == 2.0
-    model.reported(1.0, 1.0)
+    model.on_report(1.0, 1.0)
     assert model.base_slowness == 1.0
