--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -46,7 +46,7 @@
 from wheatslip.call import ANY_WAIT, Call, CallClass
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.outcome import NotRun, Reason
-from wheatslip.retryafter import overloaded
+from wheatslip.retryafter import overloaded_refusal
 
 
 @dataclass(slots=True)
@@ -145,18 +145,22 @@
         if call.remaining(now) <= 0:
             return NotRun(Reason.DEADLINE)
         if should_try_elsewhere(self.timing, call, max_wait, now):
-            return overloaded(0.0)
+            return overloaded_refusal(0.0)
         ticket = Ticket(call, now, max_wait=max_wait)
         if self._start_if_possible(ticket, now):
             return ticket
         wait = self.expected_wait(call, now)
         if wait > max_wait or self.timing.is_too_late(call, wait, now):
-            return overloaded(wait)
+            return overloaded_refusal(wait)
         if self._misses_target(call, wait, now):
-            return overloaded(wait)
+            return overloaded_refusal(wait)
         if call.hold_until <= now:
-            return ticket if self._start_late_if_worthwhile(ticket, now) else overloaded(wait)
-        return ticket if self._enqueue(ticket) else overloaded(wait)
+            return (
+                ticket
+                if self._start_late_if_worthwhile(ticket, now)
+                else overloaded_refusal(wait)
+            )
+        return ticket if self._enqueue(ticket) else overloaded_refusal(wait)
 
     def finish(self, ticket: Ticket, now: float, *, worked: bool) -> list[Ticket]:
         """Removes a started request that has ended, and returns the tickets that start now.
@@ -220,7 +224,7 @@
         """Returns the refusal of a call that has waited and was not started."""
         if call.hold_until > now:
             return NotRun(Reason.DEADLINE)
-        return overloaded(self.expected_wait(call, now))
+        return overloaded_refusal(self.expected_wait(call, now))
 
     def evicted(self) -> list[Ticket]:
         """Returns the tickets evicted from a full queue since the last call."""
--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -4,44 +4,42 @@
 caller should retry. A daemon that refuses a request of another daemon sends the time in
 `wheatslip-retry-after-ms`, and the entry sends the time of its last attempt to the caller.
 
-| refusal              | reason, seconds      | where: when                                  |
-| -------------------- | -------------------- | -------------------------------------------- |
-| `STOPPING`           | draining, 1          | entry: its daemon is stopping                |
-| `NOT_CONFIGURED`     | no-configuration, 1  | entry: its daemon has no configuration yet   |
-| `NO_SUCH_SERVICE`    | no-upstream, 0.1     | entry: the route's service is not configured |
-| `NO_SERVER`          | no-upstream, 1       | entry: no server is eligible                 |
-| `NO_PEER_CONNECTION` | unreachable, 1       | entry: can't connect to the server's daemon  |
-| `SERVER_UNKNOWN`     | not-ready, 0.2       | gate: it is not known which server runs here |
-| `SERVER_LOST`        | unreachable, 0.2     | gate: the server was unreachable when the    |
-|                      |                      | request arrived                              |
-| `LOST_WHILE_WAITING` | unreachable, 0.05    | gate: the server became unreachable while    |
-|                      |                      | the request was queued                       |
-| `overloaded(wait)`   | overloaded, `wait`   | gate: the request would wait too long, or    |
-|                      |                      | the queue is full; `wait` is the expected    |
-|                      |                      | wait (`Admission.expected_wait`), or 0 if    |
-|                      |                      | the server is slow and the sender can try    |
-|                      |                      | others                                       |
-| `FASTER_ELSEWHERE`   | overloaded, 0.05     | gate: the server became slow while the       |
-|                      |                      | request was queued                           |
-| `EVICTED`            | over-share, 0.5      | gate: evicted from a full queue by another   |
-|                      |                      | workspace's request                          |
-| `NO_CONNECTION`      | unreachable, 1       | gate: can't connect to the server            |
-| `TURNED_AWAY`        | shed, 1              | gate: the server rejected the request        |
-| `LEASE_LAPSED`       | lease-lapsed, 1      | gate: it has no valid lease on keys          |
-| `NOT_KEY_OWNER`      | not-key-owner, 1     | gate: another daemon owns the key            |
-| `held(seconds)`      | ends-servers,        | entry, gate: each backend server that ran    |
-|                      | `seconds`            | the request ended, so it is held back        |
-| `SUSPECT_RUNS`       | overloaded, 0.05     | gate: the request is suspected of ending     |
-|                      |                      | servers, and another such request runs here  |
+| refusal | reason, seconds | where: when |
+|---|---|---|
+| `STOPPING` | draining, 1 | entry: its daemon is stopping |
+| `NOT_CONFIGURED` | no-configuration, 1 | entry: its daemon has no configuration yet |
+| `NO_SUCH_SERVICE` | no-upstream, 0.1 | entry: the route's service is not configured |
+| `NO_SERVER` | no-upstream, 1 | entry: no server is eligible |
+| `NO_PEER_CONNECTION` | unreachable, 1 | entry: can't connect to the server's daemon |
+| `SERVER_UNKNOWN` | not-ready, 0.2 | gate: it is not known which server runs here |
+| `SERVER_LOST` | unreachable, 0.2 | gate: the server was unreachable when the \
+request arrived |
+| `LOST_WHILE_WAITING` | unreachable, 0.05 | gate: the server became \
+unreachable while the request was queued |
+| `overloaded_refusal(wait)` | overloaded, `wait` | gate: the request would \
+wait too long, or the queue is full; `wait` is the expected wait (`Admission.expected_wait`), \
+or 0 if the server is slow and the sender can try others |
+| `FASTER_ELSEWHERE` | overloaded, 0.05 | gate: the server became slow while \
+the request was queued |
+| `EVICTED` | over-share, 0.5 | gate: evicted from a full queue by another \
+workspace's request |
+| `NO_CONNECTION` | unreachable, 1 | gate: can't connect to the server |
+| `TURNED_AWAY` | shed, 1 | gate: the server rejected the request |
+| `LEASE_LAPSED` | lease-lapsed, 1 | gate: it has no valid lease on keys |
+| `NOT_KEY_OWNER` | not-key-owner, 1 | gate: another daemon owns the key |
+| `held(seconds)` | ends-servers, `seconds` | entry, gate: each backend server \
+that ran the request ended, so it is held back |
+| `SUSPECT_RUNS` | overloaded, 0.05 | gate: the request is suspected of ending \
+servers, and another such request runs here |
 
 Refusals with other reasons have no time. The daemon's `entry/answers.py` maps each reason to
-its HTTP status, 503 by default. If a 503 has no time, callers that use routes get `UNTIMED`,
-and callers with a workspace's credential get no `Retry-After`.
+its HTTP status, 503 by default. If a 503 has no time, callers that use routes get
+`UNTIMED`, and callers with a workspace's credential get no `Retry-After`.
 
-The times are fixed except for `overloaded` and `held`: 1 s if the daemon can't know when the
-cause ends, less if a probe or a heartbeat will soon tell, and the minimum if another server can
-take the request at once. A longer time keeps callers away from servers with free capacity;
-after a shorter one they are likely to be refused again.
+The times are fixed except for `overloaded_refusal` and `held`: 1 s if the daemon can't
+know when the cause ends, less if a probe or a heartbeat will soon tell, and the minimum if
+another server can take the request at once. A longer time keeps callers away from servers with
+free capacity; after a shorter one they are likely to be refused again.
 """
 
 from wheatslip.outcome import NotRun, Reason
@@ -73,7 +71,7 @@
 SUSPECT_RUNS = NotRun(Reason.OVERLOADED, MIN_RETRY_AFTER_SECONDS)
 
 
-def overloaded(wait: float) -> NotRun:
+def overloaded_refusal(wait: float) -> NotRun:
     """Returns the refusal of a request that would wait for `wait` seconds."""
     return NotRun(Reason.OVERLOADED, max(MIN_RETRY_AFTER_SECONDS, wait))
 
