--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -43,7 +43,7 @@
 )
 from wheatslip.admission.ticket import AdmissionSettings, Ticket
 from wheatslip.admission.timing import ServiceTiming
-from wheatslip.call import ANY_WAIT, Call, CallClass
+from wheatslip.call import UNLIMITED, Call, CallClass
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.retryafter import overloaded_refusal
@@ -132,7 +132,7 @@
         kept_busy = ceil(self.cold.rate.per_second * self.timing.current_service_time(now))
         return max(1, min(limit, kept_busy))
 
-    def arrive(self, call: Call, now: float, max_wait: float = ANY_WAIT) -> Ticket | NotRun:
+    def arrive(self, call: Call, now: float, max_wait: float = UNLIMITED) -> Ticket | NotRun:
         """Admits or refuses a request. A returned ticket with a start time runs, one without
         waits.
 
--- a/packages/wheatslip/wheatslip/admission/slowserver.py
+++ b/packages/wheatslip/wheatslip/admission/slowserver.py
@@ -18,7 +18,7 @@
 """
 
 from wheatslip.admission.timing import ServiceTiming
-from wheatslip.call import ANY_WAIT, Call
+from wheatslip.call import UNLIMITED, Call
 
 # Largest part of the time left to its target that a call may take on a slow server; below 1 to
 # allow for the error of the estimate.
@@ -34,9 +34,9 @@
     """Whether the server is so slow that another one should take the call. `max_wait` is the
     longest wait in seconds for which the sender prefers this server over another one.
     """
-    if not timing.is_slow or max_wait == ANY_WAIT:
+    if not timing.is_slow or max_wait == UNLIMITED:
         return False
-    if call.target == ANY_WAIT:
+    if call.target == UNLIMITED:
         return (timing.slowness - 1.0) * timing.usual_call_time(call, now) > max_wait
     # A call that meets its target stays, even if another server would be faster.
     return timing.current_call_time(call, now) > MAX_SHARE_OF_TARGET * (call.target - now)
@@ -46,7 +46,7 @@
     """Whether a call should wait until a slow period is over. This is so if it would miss its
     target (and occupy a slot for long) when started now, but not after the slow period.
     """
-    if not timing.in_slow_period or call.target == ANY_WAIT:
+    if not timing.in_slow_period or call.target == UNLIMITED:
         return False
     if now + timing.base_call_time(call, now) > call.target:
         return False
--- a/packages/wheatslip/wheatslip/admission/ticket.py
+++ b/packages/wheatslip/wheatslip/admission/ticket.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from wheatslip.call import ANY_WAIT, Call
+from wheatslip.call import UNLIMITED, Call
 
 # Largest part of the starts that urgent requests may take while others wait.
 DEFAULT_URGENT_SHARE = 0.25
@@ -17,7 +17,7 @@
     started: float | None = None
     # Slowness of the backend server when the request started; None if it was not known.
     slowness: float | None = 1.0
-    max_wait: float = ANY_WAIT  # seconds; see `Admission.arrive`
+    max_wait: float = UNLIMITED  # seconds; see `Admission.arrive`
     is_late: bool = False  # will miss its target, so it starts after all that may meet theirs
 
 
--- a/packages/wheatslip/wheatslip/admission/timing.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -31,7 +31,7 @@
 from dataclasses import dataclass, field
 
 from wheatslip.admission.ticket import Ticket
-from wheatslip.call import ANY_WAIT, Call
+from wheatslip.call import UNLIMITED, Call
 from wheatslip.limit import ConcurrencyLimit
 from wheatslip.servicetimes import ServiceTimes
 from wheatslip.speed import SLOW_THRESHOLD, USUAL_SLOWNESS, SpeedModel
@@ -136,7 +136,7 @@
         mean_time = self._times.mean(call.kind.name)
         if mean_time is not None:
             return mean_time
-        if call.target < ANY_WAIT:
+        if call.target < UNLIMITED:
             return UNSEEN_KIND_SHARE * max(0.0, call.target - now)
         return self.usual_service(now)
 
@@ -159,7 +159,7 @@
         Always False for a call with unlimited `hold_until`, which prefers a late response over
         a refusal.
         """
-        if call.hold_until == ANY_WAIT or call.target == ANY_WAIT:
+        if call.hold_until == UNLIMITED or call.target == UNLIMITED:
             return False
         return now + wait + self.base_call_time(call, now) > call.target
 
@@ -168,7 +168,7 @@
         # At most half of the remaining time is reserved, however long the estimate is.
         needed = min(self.current_call_time(call, now), call.remaining(now) / 2)
         latest = min(call.deadline - needed, call.hold_until)
-        if call.hold_until < ANY_WAIT:
+        if call.hold_until < UNLIMITED:
             latest = min(latest, call.target - self.base_call_time(call, now))
         return latest
 
@@ -181,7 +181,7 @@
         the time to the deadline is accepted too.
         """
         bound = LATE_START_TARGET_SHARE * (call.target - now)
-        if call.target < ANY_WAIT:
+        if call.target < UNLIMITED:
             share = LATE_START_DEADLINE_SHARE_IDLE if is_idle else LATE_START_DEADLINE_SHARE
             bound = max(bound, share * call.remaining(now))
         return self.current_call_time(call, now) <= bound
--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -38,7 +38,7 @@
 from dataclasses import dataclass, field
 
 from wheatslip.budget import Budget
-from wheatslip.call import ANY_WAIT, Call
+from wheatslip.call import UNLIMITED, Call
 from wheatslip.chooser import Chooser
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from wheatslip.owners import owner
@@ -149,13 +149,13 @@
     def _choose(self, upstreams: Sequence[Upstream], now: float) -> Try | None:
         if self.call.runs_once_by_key:
             owning = self._key_owner(upstreams)
-            return Try(owning, ANY_WAIT) if owning else None
+            return Try(owning, UNLIMITED) if owning else None
         chosen = self.chooser.pick(upstreams, now, self._tried)
         if chosen is None:
             # All were tried: queue at the best of those that were only too busy.
             busy = [u for u in upstreams if u.name in self._bounced]
             chosen = self.chooser.soonest(busy, now, self.call.target)
-            return Try(chosen, ANY_WAIT) if chosen else None
+            return Try(chosen, UNLIMITED) if chosen else None
         return Try(chosen, self._max_wait_at(chosen, upstreams, now))
 
     def _max_wait_at(
@@ -167,11 +167,11 @@
         """
         settings = self.chooser.settings
         if len(self._bounced) >= settings.max_bounces:
-            return ANY_WAIT
+            return UNLIMITED
         left = self._tried | {chosen.name}
         if self._bounced or self.chooser.has_choice(upstreams, now, left):
             return settings.bounce_wait
-        return ANY_WAIT
+        return UNLIMITED
 
     def _again_after_refusal(self, refusal: NotRun) -> bool:
         if not (refusal.retryable and self.can_resend):
@@ -185,10 +185,10 @@
 
     def _again_after_overload(self) -> bool:
         assert self._present is not None
-        if self._present.max_wait < ANY_WAIT:
+        if self._present.max_wait < UNLIMITED:
             self._bounced.add(self._present.upstream.name)
             return True
-        if self.call.hold_until < ANY_WAIT:
+        if self.call.hold_until < UNLIMITED:
             return False  # it has waited as long as it may
         return self.budget.take()
 
--- a/packages/wheatslip/wheatslip/call.py
+++ b/packages/wheatslip/wheatslip/call.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 # Value of a duration or a time in seconds that is not limited.
-ANY_WAIT = float("inf")
+UNLIMITED = float("inf")
 
 
 class CallClass(StrEnum):
@@ -35,11 +35,11 @@
     deadline: float  # the caller ignores a later response
     key: str = ""  # idempotency key; empty if there is none
     depth: int = 0  # length of the chain of nested calls that led to this one
-    target: float = ANY_WAIT  # a response after this time has little value for the caller
+    target: float = UNLIMITED  # a response after this time has little value for the caller
     # Time until which the call may wait for a backend server, provided that it can still meet
     # its target; later a refusal is better for the caller. If unlimited, the call may wait
     # until its deadline.
-    hold_until: float = ANY_WAIT
+    hold_until: float = UNLIMITED
     max_attempts: int = 5  # attempts that may reach a backend server
     request_id: str = ""  # the backend server repeats it in its response
 
--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -33,7 +33,7 @@
 from math import exp
 from random import Random
 
-from wheatslip.call import ANY_WAIT
+from wheatslip.call import UNLIMITED
 from wheatslip.hop import LoadReport
 from wheatslip.limit import INITIAL_LIMIT, INITIAL_SERVICE
 from wheatslip.upstream import Upstream
@@ -155,7 +155,7 @@
         )
 
     def soonest(
-        self, upstreams: Sequence[Upstream], now: float, target: float = ANY_WAIT
+        self, upstreams: Sequence[Upstream], now: float, target: float = UNLIMITED
     ) -> Upstream | None:
         """Where a request that was refused by each of `upstreams` just now waits least.
 
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -12,7 +12,7 @@
 
 from wheatslip.attempts import REPLACED, SERVER_ERROR, Attempts, Replaced, Try
 from wheatslip.budget import RetryBudgets
-from wheatslip.call import ANY_WAIT, Call, CallClass
+from wheatslip.call import UNLIMITED, Call, CallClass
 from wheatslip.chooser import Chooser
 from wheatslip.hop import (
     HOP_HEADER,
@@ -363,4 +363,4 @@
 
 def _bounded(seconds: float) -> float | None:
     """A bound for the wire, where None means that there is none."""
-    return None if seconds == ANY_WAIT else round(seconds, TIME_DIGITS)
+    return None if seconds == UNLIMITED else round(seconds, TIME_DIGITS)
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -11,7 +11,7 @@
 from wheatslip.admission import Ticket
 from wheatslip.attempts import SERVER_ERROR
 from wheatslip.backendload import decode_backend_load
-from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
+from wheatslip.call import UNLIMITED, Call, CallClass, RequestKind
 from wheatslip.exposure import Run
 from wheatslip.fingerprint import BODY_BYTES
 from wheatslip.hop import (
@@ -206,7 +206,7 @@
 
     async def _run(self, passage: _Passage, kept: KeptAnswer | None) -> Outcome:
         bound = passage.hop.max_wait
-        max_wait = ANY_WAIT if bound is None else bound
+        max_wait = UNLIMITED if bound is None else bound
         was_suspected = passage.exchange.head.get(SUSPECT_HEADER) is not None
         async with self._suspects.passing(
             passage.call, passage.fingerprint, max_wait, was_suspected=was_suspected
@@ -373,4 +373,4 @@
 
 def _moment(now: float, left: float | None) -> float:
     """The moment that is `left` seconds away; never, if there is no such bound."""
-    return ANY_WAIT if left is None else now + left
+    return UNLIMITED if left is None else now + left
--- a/packages/wheatslipd/wheatslipd/gate/suspects.py
+++ b/packages/wheatslipd/wheatslipd/gate/suspects.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 
-from wheatslip.call import ANY_WAIT, Call
+from wheatslip.call import UNLIMITED, Call
 from wheatslip.outcome import NotRun
 from wheatslip.quarantine import Quarantine, Standing
 from wheatslip.retryafter import SUSPECT_RUNS, held
@@ -73,7 +73,7 @@
     async def _enter_lane(self, call: Call, max_wait: float) -> bool:
         """Wait until no other suspect runs here; False if that takes too long."""
         now = self._clock()
-        until = call.deadline if call.hold_until >= ANY_WAIT else call.hold_until
+        until = call.deadline if call.hold_until >= UNLIMITED else call.hold_until
         try:
             async with asyncio.timeout(max(0.0, min(max_wait, until - now, LANE_SECONDS))):
                 await self._lane.acquire()
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from wheatslip.attempts import MAX_TRIES, Attempts
 from wheatslip.budget import RetryBudget
-from wheatslip.call import ANY_WAIT, Call, RequestKind
+from wheatslip.call import UNLIMITED, Call, RequestKind
 from wheatslip.chooser import Chooser, Upstream
 from wheatslip.hop import LoadReport
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
@@ -177,9 +177,9 @@
     waits = []
     while (one := tries.next(group, 0.0)) is not None:
         waits.append(one.max_wait)
-        if one.max_wait == ANY_WAIT or not tries.ended(NotRun(Reason.OVERLOADED)):
+        if one.max_wait == UNLIMITED or not tries.ended(NotRun(Reason.OVERLOADED)):
             break
-    assert waits[-1] == ANY_WAIT
+    assert waits[-1] == UNLIMITED
 
 
 @pytest.mark.parametrize("per_second", [0.0, 0.5, 2.0])
@@ -240,7 +240,7 @@
 def test_a_call_held_as_long_as_it_may_is_not_tried_again():
     tries = routed(tokens=20.0)
     (only,) = upstreams("a")
-    assert tries.next([only], 0.0).max_wait == ANY_WAIT
+    assert tries.next([only], 0.0).max_wait == UNLIMITED
     assert not tries.ended(NotRun(Reason.OVERLOADED))
 
 
--- a/test/test_coldstarts.py
+++ b/test/test_coldstarts.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from wheatslip.admission import Admission, AdmissionSettings, ColdStartLimiter, cold_rate
-from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
+from wheatslip.call import UNLIMITED, Call, CallClass, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslipd.controllers.view import View
 from wheatslipd.gate.gate import Gate
@@ -245,8 +245,8 @@
         gate.admission.cold.bound(RATE)
         gate.admission.cold.assume(0.0)
         for _ in range(int(RATE.burst)):
-            await gate.enter(call(), ANY_WAIT)
-        waiting = asyncio.create_task(gate.enter(call(), ANY_WAIT))
+            await gate.enter(call(), UNLIMITED)
+        waiting = asyncio.create_task(gate.enter(call(), UNLIMITED))
         await asyncio.sleep(0)
         assert not waiting.done()
         gate.learn_cold(0.0)
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -5,7 +5,7 @@
 
 from wheatslip.admission import Admission, AdmissionSettings, ClosedBy, Ticket
 from wheatslip.backendload import BackendLoad, decode_backend_load
-from wheatslip.call import ANY_WAIT, Call, RequestKind
+from wheatslip.call import UNLIMITED, Call, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslipd.controllers.view import View
 from wheatslipd.gate.gate import Gate
@@ -57,7 +57,7 @@
     refusal = admission.arrive(call(), 0.0, max_wait=0.03)
     assert isinstance(refusal, NotRun) and refusal.reason is Reason.OVERLOADED
     assert admission.arrive(call(target=0.6), 0.0, max_wait=0.03).started is not None
-    waiting = admission.arrive(call(), 0.0, ANY_WAIT)
+    waiting = admission.arrive(call(), 0.0, UNLIMITED)
     assert waiting.started is None and admission.queued == 1
 
 
@@ -66,7 +66,7 @@
         one, _ = gate(slots=4)
         taught(one.admission)
         one.learn(SLOW)
-        waiting = asyncio.create_task(one.enter(call(), ANY_WAIT))
+        waiting = asyncio.create_task(one.enter(call(), UNLIMITED))
         await asyncio.sleep(0)
         assert one.admission.in_flight == 0
         one.learn(USUAL)
@@ -119,8 +119,8 @@
 def test_what_is_late_goes_behind_what_may_meet_its_target():
     admission = taught(Admission(AdmissionSettings(slots=1)))
     running = admission.arrive(call(), 0.0)
-    late = admission.arrive(call(target=0.15, hold=ANY_WAIT), 0.0)
-    in_time = admission.arrive(call(target=0.9, hold=ANY_WAIT), 0.0)
+    late = admission.arrive(call(target=0.15, hold=UNLIMITED), 0.0)
+    in_time = admission.arrive(call(target=0.9, hold=UNLIMITED), 0.0)
     (started,) = admission.finish(running, 0.12, worked=True)
     assert started is in_time and late.is_late
     assert admission.finish(in_time, 0.24, worked=True) == [late]
@@ -198,9 +198,9 @@
     async def scenario():
         one, _ = gate()
         taught(one.admission)
-        running = await one.enter(call(), ANY_WAIT)
+        running = await one.enter(call(), UNLIMITED)
         waiting = asyncio.create_task(one.enter(call(), 0.5))
-        stays = asyncio.create_task(one.enter(call(hold=ANY_WAIT), ANY_WAIT))
+        stays = asyncio.create_task(one.enter(call(hold=UNLIMITED), UNLIMITED))
         await asyncio.sleep(0)
         one.learn(SLOW)
         refusal = await waiting
@@ -223,8 +223,8 @@
 def test_a_request_held_to_its_bound_is_refused_with_a_time_to_come_back():
     async def scenario():
         one, clock = gate()
-        await one.enter(call(), ANY_WAIT)
-        waiting = asyncio.create_task(one.enter(call(hold=0.02), ANY_WAIT))
+        await one.enter(call(), UNLIMITED)
+        waiting = asyncio.create_task(one.enter(call(hold=0.02), UNLIMITED))
         await asyncio.sleep(0)
         clock.now = 0.02
         refusal = await waiting
@@ -267,8 +267,8 @@
 def test_a_server_that_resets_gets_nothing_more_until_it_answers():
     async def scenario():
         one, _ = gate()
-        await one.enter(call(), ANY_WAIT)
-        waiting = asyncio.create_task(one.enter(call(), ANY_WAIT))
+        await one.enter(call(), UNLIMITED)
+        waiting = asyncio.create_task(one.enter(call(), UNLIMITED))
         await asyncio.sleep(0)
         one.on_lost()
         assert not one.is_closed_by(ClosedBy.SERVER_LOST)
@@ -278,7 +278,7 @@
         assert one.needs_probe.is_set()
         one.on_answer()
         assert not one.needs_probe.is_set()
-        assert isinstance(one.admission.arrive(call(), 0.0, ANY_WAIT), Ticket)
+        assert isinstance(one.admission.arrive(call(), 0.0, UNLIMITED), Ticket)
 
     run(scenario)
 
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from wheatslip.call import ANY_WAIT, Call, RequestKind
+from wheatslip.call import UNLIMITED, Call, RequestKind
 from wheatslip.distribution.endlog import MAX_REPORTS, EndLog
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.quarantine import (
@@ -129,7 +129,7 @@
     assert len(log.after(0)) == 1
 
 
-def call(hold=ANY_WAIT):
+def call(hold=UNLIMITED):
     return Call("", "papers", RequestKind("view", True), deadline=10.0, hold_until=hold)
 
 
@@ -141,7 +141,7 @@
         self.inside = []
         self.most = 0
 
-    async def pass_through(self, fingerprint, *, max_wait=ANY_WAIT, was_suspected=False):
+    async def pass_through(self, fingerprint, *, max_wait=UNLIMITED, was_suspected=False):
         async with self.guard.passing(
             call(), fingerprint, max_wait, was_suspected=was_suspected
         ) as refusal:
--- a/test/test_recoveryprobe.py
+++ b/test/test_recoveryprobe.py
@@ -5,7 +5,7 @@
 
 from wheatslip.admission import Admission, AdmissionSettings
 from wheatslip.backendload import BackendLoad
-from wheatslip.call import ANY_WAIT, Call, RequestKind
+from wheatslip.call import UNLIMITED, Call, RequestKind
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.slidinglimit import SlidingLimit
 from wheatslipd.controllers.view import View
@@ -206,7 +206,7 @@
         gate, clock = checked_gate(TellingBackend(100))
         gate.learn(BackendLoad(1, 0, 4, slowness=5.0))
         assert not gate.should_probe()
-        waiting = asyncio.create_task(gate.enter(one_call(clock()), ANY_WAIT))
+        waiting = asyncio.create_task(gate.enter(one_call(clock()), UNLIMITED))
         for _ in range(TURNS):
             await asyncio.sleep(0)
         assert gate.admission.queued == 1 and gate.should_probe()
