--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -147,7 +147,7 @@
         return NotRun(Reason.DEADLINE)
 
     def _choose(self, upstreams: Sequence[Upstream], now: float) -> Try | None:
-        if self.call.runs_once_by_key:
+        if self.call.is_at_most_once:
             owning = self._key_owner(upstreams)
             return Try(owning, UNLIMITED) if owning else None
         chosen = self.chooser.pick(upstreams, now, self._tried)
--- a/packages/wheatslip/wheatslip/call.py
+++ b/packages/wheatslip/wheatslip/call.py
@@ -52,7 +52,7 @@
         return self.kind.call_class
 
     @property
-    def runs_once_by_key(self) -> bool:
+    def is_at_most_once(self) -> bool:
         """Whether its key limits the call to one execution, even if it is sent repeatedly."""
         return bool(self.key) and not self.kind.repeatable
 
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -234,7 +234,7 @@
         A call bound by its key can go nowhere else, and what is reported as not run because of
         a slow connection may have run by another send of its key.
         """
-        return call.remaining(self._clock()) if call.runs_once_by_key else CONNECT_TIMEOUT
+        return call.remaining(self._clock()) if call.is_at_most_once else CONNECT_TIMEOUT
 
     async def _exchange(
         self, sending: _Sending, chosen: Try, peer: Peer, connection: ClientConnection
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -151,7 +151,7 @@
         refusal = await self._check_entry(hop, exchange)
         if refusal is not None:
             return refusal
-        if call.runs_once_by_key:
+        if call.is_at_most_once:
             return await self._run_keyed(passage)
         return await self._run(passage, None)
 
@@ -282,7 +282,7 @@
             (echo, request_id) if echo and request_id else None,
             # The same key sent again meanwhile is refused as running, so the connection may
             # take all the time that is left.
-            remaining if call.runs_once_by_key else 0.0,
+            remaining if call.is_at_most_once else 0.0,
             lambda: self._ends.exposure.begin(run),
         )
 
