--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -215,5 +215,5 @@
         """A call bound by its key goes to the key's owner, and nowhere else."""
         if self.tries:
             return None
-        name = owner(self.call.owned_key, [upstream.name for upstream in upstreams])
+        name = owner(self.call.qualified_key, [upstream.name for upstream in upstreams])
         return next((u for u in upstreams if u.name == name), None)
--- a/packages/wheatslip/wheatslip/call.py
+++ b/packages/wheatslip/wheatslip/call.py
@@ -57,6 +57,6 @@
         return bool(self.key) and not self.kind.repeatable
 
     @property
-    def owned_key(self) -> str:
+    def qualified_key(self) -> str:
         """The key with its workspace, since keys are unique only within one workspace."""
         return f"{self.workspace}/{self.key}"
