--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -96,7 +96,7 @@
         """Returns the expected benefit of probing the server before `call` starts, as a
         fraction of the value of a response within its target; 0 if the call can't start now.
         """
-        if self.closures.holding:
+        if self.closures.active:
             return 0.0
         if self.queued or not self._has_capacity(now):
             return 0.0  # the call waits for a response, which reports the speed again
@@ -139,7 +139,7 @@
         `max_wait` is the longest wait in seconds for which the sender prefers this server over
         another one.
         """
-        closed_by = self.closures.holding
+        closed_by = self.closures.active
         if closed_by:
             return closed_by[0].refusal
         if call.remaining(now) <= 0:
@@ -218,7 +218,7 @@
         whether it was started late.
         """
         self._queue.remove(ticket)
-        return not self.closures.holding and self._start_late_if_worthwhile(ticket, now)
+        return not self.closures.active and self._start_late_if_worthwhile(ticket, now)
 
     def refusal_after_wait(self, call: Call, now: float) -> NotRun:
         """Returns the refusal of a call that has waited and was not started."""
--- a/packages/wheatslip/wheatslip/admission/closures.py
+++ b/packages/wheatslip/wheatslip/admission/closures.py
@@ -53,11 +53,11 @@
 class Closures:
     """The active reasons in the order of `ClosedBy`; the gate is open if there are none."""
 
-    holding: tuple[ClosedBy, ...] = ()
+    active: tuple[ClosedBy, ...] = ()
 
     def add(self, reason: ClosedBy) -> None:
-        self.holding = tuple(r for r in ClosedBy if r is reason or r in self.holding)
+        self.active = tuple(r for r in ClosedBy if r is reason or r in self.active)
 
     def remove(self, reason: ClosedBy) -> None:
         """Removes a reason if it is active."""
-        self.holding = tuple(r for r in self.holding if r is not reason)
+        self.active = tuple(r for r in self.active if r is not reason)
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -105,7 +105,7 @@
 
     def is_closed_by(self, reason: ClosedBy) -> bool:
         """Whether this reason to be closed holds, perhaps beside others."""
-        return reason in self.admission.closures.holding
+        return reason in self.admission.closures.active
 
     def server_replaced(self) -> None:
         """The server answered that it is not the registered one: nothing more is sent until a
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -48,7 +48,7 @@
         one = place.begin("f")
         place.ends.exposure.broken(one, asyncio.get_running_loop().time())
         assert await place.ends.check()
-        assert place.gate.admission.closures.holding
+        assert place.gate.admission.closures.active
         assert len(place.bus) == 1
 
     run(scenario)
@@ -61,7 +61,7 @@
         now = asyncio.get_running_loop().time()
         place.ends.exposure.broken(broken, now)
         assert not await place.ends.check()
-        assert not place.gate.admission.closures.holding and len(place.bus) == 0
+        assert not place.gate.admission.closures.active and len(place.bus) == 0
         # The last one breaks too: now it has ended, and both ran there.
         place.ends.exposure.broken(running, now)
         assert await place.ends.check() and len(place.bus) == 1
