--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -179,7 +179,7 @@
             self._was_full = bool(self.queued)
         return self.admit(now)
 
-    def take_for_elsewhere(self, now: float) -> list[Ticket]:
+    def dequeue_for_other_servers(self, now: float) -> list[Ticket]:
         """Removes and returns the tickets that another, faster server should take."""
         redirected = [
             ticket
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -255,7 +255,7 @@
 
     def _send_elsewhere(self) -> None:
         """Refuse what waits here and should rather run on a faster server."""
-        for ticket in self.admission.take_for_elsewhere(self._clock()):
+        for ticket in self.admission.dequeue_for_other_servers(self._clock()):
             self._end_wait(ticket, FASTER_ELSEWHERE)
 
     def _no_longer_slow(self) -> None:
