--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -112,7 +112,7 @@
     def _arrive(self, workspace: str) -> None:
         call = Call(workspace, "service", READ, self.now + DEADLINE_SECONDS)
         ticket = self._gate.arrive(call, self.now)
-        self._gate.evicted()
+        self._gate.take_evicted()
         if isinstance(ticket, NotRun):
             return
         if ticket.started is not None:
--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -226,7 +226,7 @@
             return NotRun(Reason.DEADLINE)
         return overloaded_refusal(self.expected_wait(call, now))
 
-    def evicted(self) -> list[Ticket]:
+    def take_evicted(self) -> list[Ticket]:
         """Returns the tickets evicted from a full queue since the last call."""
         return self._queue.take_evicted()
 
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -303,7 +303,7 @@
         self._wake(self.admission.admit(self._clock()))
 
     def _refuse_evicted(self) -> None:
-        for ticket in self.admission.evicted():
+        for ticket in self.admission.take_evicted():
             self._end_wait(ticket, EVICTED)
 
     def _end_wait(self, ticket: Ticket, refusal: NotRun | None) -> None:
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -75,7 +75,7 @@
         self.admission.closures.remove(ClosedBy.SERVER_LEAVES)
 
     def _drop_evicted(self):
-        for ticket in self.admission.evicted():
+        for ticket in self.admission.take_evicted():
             self.open.remove(ticket)
             self.refused += 1
 
@@ -125,7 +125,7 @@
     greedy = [admission.arrive(call("greedy", 100.0 + i), 0.0) for i in range(3)]
     modest = admission.arrive(call("modest"), 0.0)
     assert isinstance(modest, Ticket)
-    assert admission.evicted() == [greedy[2]]
+    assert admission.take_evicted() == [greedy[2]]
 
 
 def test_shares_hold_among_waiting_workspaces():
