--- a/packages/wheatslip/wheatslip/admission/timing.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -113,9 +113,9 @@
 
     def current_service_time(self, now: float) -> float:
         """Mean service time in seconds at the current speed."""
-        return self.usual_service(now) * self.slowness
+        return self.usual_service_time(now) * self.slowness
 
-    def usual_service(self, now: float) -> float:
+    def usual_service_time(self, now: float) -> float:
         """Mean service time in seconds at the usual speed.
 
         If the running requests are much older than that, their mean age is returned, so that a
@@ -138,7 +138,7 @@
             return mean_time
         if call.target < UNLIMITED:
             return UNSEEN_KIND_SHARE * max(0.0, call.target - now)
-        return self.usual_service(now)
+        return self.usual_service_time(now)
 
     def base_call_time(self, call: Call, now: float) -> float:
         """Estimated service time of a call in seconds outside slow periods."""
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -97,7 +97,7 @@
             in_flight=admission.in_flight,
             queued=admission.queued,
             limit=admission.reported_limit(now),
-            service=round(admission.timing.usual_service(now), 4),
+            service=round(admission.timing.usual_service_time(now), 4),
             version=self._view.version,
             leaving=self.is_closed_by(ClosedBy.SERVER_LEAVES),
             slowness=round(admission.timing.slowness, 2),
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -174,7 +174,7 @@
         admission.timing.slowness = 4.0  # it was slow already, and told it with its answer
         admission.finish(ticket, 0.4, worked=True)
         admission.timing.slowness = 1.0
-    assert admission.timing.usual_service(0.0) == 0.1
+    assert admission.timing.usual_service_time(0.0) == 0.1
 
 
 def test_a_speed_that_wavers_a_little_still_teaches():
@@ -184,7 +184,7 @@
         admission.timing.slowness = 1.1
         admission.finish(ticket, 0.2, worked=True)
         admission.timing.slowness = 1.0
-    assert admission.timing.usual_service(0.0) > 0.15
+    assert admission.timing.usual_service_time(0.0) > 0.15
 
 
 def test_a_server_that_never_tells_its_load_counts_as_usual():
