--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -56,7 +56,7 @@
     settings: AdmissionSettings
     timing: ServiceTiming = field(init=False)
     closures: Closures = field(init=False, default_factory=Closures)
-    last_finished: float = float("-inf")
+    last_finished_at: float = float("-inf")
     cold: ColdStartLimiter = field(init=False, default_factory=ColdStartLimiter)
     _queue: GateQueue = field(init=False)
     _running: set[Ticket] = field(init=False, default_factory=set)
@@ -173,7 +173,7 @@
             return []
         self._running.remove(ticket)
         self.timing.on_end(ticket.started)
-        self.last_finished = now
+        self.last_finished_at = now
         service_time = now - ticket.started
         if worked and self.timing.observe(ticket, service_time, saturated=self._was_full):
             self._was_full = bool(self.queued)
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -97,7 +97,7 @@
 def _measurer(settings: Settings, shared: Shared, gate: Gate, backend: Backend) -> Measurer:
     def is_silent(seconds: float) -> bool:
         admission = gate.admission
-        silence = shared.monotonic() - admission.last_finished
+        silence = shared.monotonic() - admission.last_finished_at
         return admission.in_flight == 0 and silence >= seconds
 
     return Measurer(
