--- a/packages/wheatslip/wheatslip/admission/timing.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -73,7 +73,7 @@
         self.is_speed_known = True
         self.speed.on_report(slowness, now)
 
-    def forget_speed(self) -> None:
+    def reset_speed(self) -> None:
         """Discards the speed after the backend server was replaced."""
         self.is_speed_known = False
         self.speed.reset()
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -211,7 +211,7 @@
 
     def speed_unknown(self) -> None:
         """Another backend server has come: its speed is not known until it reports."""
-        self.admission.timing.forget_speed()
+        self.admission.timing.reset_speed()
         self.needs_probe.set()
 
     def learn_cold(self, remaining: float) -> None:
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -141,7 +141,7 @@
 def test_of_a_new_server_nothing_is_known_so_asking_gains_most():
     admission = taught({VIEW: 0.2})
     admission.timing.learn_speed(1.0, 1.0)
-    admission.timing.forget_speed()
+    admission.timing.reset_speed()
     fresh = admission.gain_of_probing(call(now=1.01), 1.01)
     admission.timing.learn_speed(1.0, 1.0)
     assert fresh > admission.gain_of_probing(call(now=1.01), 1.01)
