--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -69,7 +69,7 @@
     # The latest starts, including those at the warm server, which may lie in the same second.
     _starts: deque[float] = field(default_factory=deque)
 
-    def bound(self, rate: ColdRate | None) -> None:
+    def set_rate(self, rate: ColdRate | None) -> None:
         """Sets the rate limit of the pool."""
         self.rate = rate
         self._starts = deque(self._starts, maxlen=rate.max_per_second if rate else 0)
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -102,7 +102,7 @@
         health_path = pool.health_path or self._settings.health_path
         self._registrar.health_path = health_path
         self._check.use_path(health_path)
-        self._gate.admission.cold.bound(self._cold_rate(pool))
+        self._gate.admission.cold.set_rate(self._cold_rate(pool))
         return self._slots or pool.slots
 
     def _cold_rate(self, pool: Pool) -> ColdRate | None:
--- a/test/test_coldstarts.py
+++ b/test/test_coldstarts.py
@@ -42,7 +42,7 @@
     admission = Admission(AdmissionSettings(slots=slots))
     taught = admission.arrive(call(-100.0), -100.0)
     admission.finish(taught, -100.0 + service, worked=True)
-    admission.cold.bound(RATE)
+    admission.cold.set_rate(RATE)
     admission.cold.reported(told, 0.0)
     return admission
 
@@ -94,7 +94,7 @@
 
 def test_starts_before_the_coldness_was_known_count_too():
     starts = ColdStartLimiter()
-    starts.bound(RATE)
+    starts.set_rate(RATE)
     for number in range(30):
         starts.on_start(0.5 + number * 0.01)  # it was warm, as far as was known
     starts.reported(3.0, 0.8)
@@ -110,7 +110,7 @@
 )
 def test_the_bound_holds_whatever_is_heard_in_whichever_order(steps):
     starts = ColdStartLimiter()
-    starts.bound(RATE)
+    starts.set_rate(RATE)
     now = 0.0
     cold_starts = []
     for pause, what in steps:
@@ -131,7 +131,7 @@
 
 def test_an_older_word_of_warmth_takes_coldness_not_back():
     starts = ColdStartLimiter()
-    starts.bound(RATE)
+    starts.set_rate(RATE)
     starts.reported(3.0, 1.0)
     starts.reported(0.0, 1.1)
     starts.probed()
@@ -140,7 +140,7 @@
 
 def test_what_is_only_assumed_ends_with_the_servers_answer():
     starts = ColdStartLimiter()
-    starts.bound(RATE)
+    starts.set_rate(RATE)
     starts.assume(1.0)
     assert starts.is_cold(1.1)
     starts.probed()
@@ -195,7 +195,7 @@
     the answers of the last five seconds.
     """
     admission = Admission(AdmissionSettings(slots=4))
-    admission.cold.bound(rate)
+    admission.cold.set_rate(rate)
     admission.cold.reported(3.0, 0.0)
     cold_until = 3.0
     back_at = 0.0
@@ -242,7 +242,7 @@
 def test_what_waits_for_a_turn_starts_when_the_server_turns_out_to_be_warm():
     async def scenario():
         gate = Gate(Admission(AdmissionSettings(slots=20)), View(), lambda: 0.0)
-        gate.admission.cold.bound(RATE)
+        gate.admission.cold.set_rate(RATE)
         gate.admission.cold.assume(0.0)
         for _ in range(int(RATE.burst)):
             await gate.enter(call(), UNLIMITED)
