--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -74,7 +74,7 @@
         self.rate = rate
         self._starts = deque(self._starts, maxlen=rate.max_per_second if rate else 0)
 
-    def reported(self, remaining: float, now: float) -> None:
+    def on_report(self, remaining: float, now: float) -> None:
         """Handles a report that the server stays cold for another `remaining` seconds.
 
         A report of 0 does not cancel an earlier one: it may be older, and the earlier one
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -219,7 +219,7 @@
         now = self._clock()
         was_cold = self.admission.cold.is_cold(now)
         self.admission.cold.probed()
-        self.admission.cold.reported(remaining, now)
+        self.admission.cold.on_report(remaining, now)
         is_cold = self.admission.cold.is_cold(now)
         if is_cold and not was_cold:
             logs.info("backend-cold", remaining=round(remaining, 3))
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -117,7 +117,7 @@
         """The registered server is alive; take over when it will be warm, if it said so."""
         now = self._clock()
         if registered.warm_at is not None:
-            self._gate.admission.cold.reported(registered.warm_at - now, now)
+            self._gate.admission.cold.on_report(registered.warm_at - now, now)
         if not registered.leaving:
             self._gate.server_stays()
 
@@ -139,7 +139,7 @@
         if registered.warm_at is None:
             cold.assume(now)
         else:
-            cold.reported(registered.warm_at - now, now)
+            cold.on_report(registered.warm_at - now, now)
 
     def publish(self) -> None:
         """Let the list show this daemon as it is now."""
--- a/test/test_coldstarts.py
+++ b/test/test_coldstarts.py
@@ -43,7 +43,7 @@
     taught = admission.arrive(call(-100.0), -100.0)
     admission.finish(taught, -100.0 + service, worked=True)
     admission.cold.set_rate(RATE)
-    admission.cold.reported(told, 0.0)
+    admission.cold.on_report(told, 0.0)
     return admission
 
 
@@ -97,7 +97,7 @@
     starts.set_rate(RATE)
     for number in range(30):
         starts.on_start(0.5 + number * 0.01)  # it was warm, as far as was known
-    starts.reported(3.0, 0.8)
+    starts.on_report(3.0, 0.8)
     assert starts.wait(0, 0.8) > 0.6
 
 
@@ -121,7 +121,7 @@
                 if starts.is_cold(now):
                     cold_starts.append(now)
             case "told":
-                starts.reported(3.0, now)
+                starts.on_report(3.0, now)
             case "asked":
                 starts.probed()
             case "assume":
@@ -132,8 +132,8 @@
 def test_an_older_word_of_warmth_takes_coldness_not_back():
     starts = ColdStartLimiter()
     starts.set_rate(RATE)
-    starts.reported(3.0, 1.0)
-    starts.reported(0.0, 1.1)
+    starts.on_report(3.0, 1.0)
+    starts.on_report(0.0, 1.1)
     starts.probed()
     assert starts.is_cold(3.9) and not starts.is_cold(4.1)
 
@@ -149,7 +149,7 @@
 
 def test_a_server_without_a_rate_has_no_bound():
     starts = ColdStartLimiter()
-    starts.reported(3.0, 0.0)
+    starts.on_report(3.0, 0.0)
     for number in range(100):
         assert starts.wait(0, number * 0.001) == 0
         starts.on_start(number * 0.001)
@@ -196,7 +196,7 @@
     """
     admission = Admission(AdmissionSettings(slots=4))
     admission.cold.set_rate(rate)
-    admission.cold.reported(3.0, 0.0)
+    admission.cold.on_report(3.0, 0.0)
     cold_until = 3.0
     back_at = 0.0
     running = []
@@ -226,7 +226,7 @@
             for ticket in lost:
                 running += admission.finish(ticket, now, worked=False)
             starts.clear()
-            admission.cold.reported(cold_until - now, now)
+            admission.cold.on_report(cold_until - now, now)
         now = round(now + 0.005, 3)
     return falls, answered
 
