--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -90,7 +90,7 @@
         if self.rate is not None:
             self._assumed_until = now + self.rate.seconds
 
-    def probed(self) -> None:
+    def on_probe_answered(self) -> None:
         """Stops treating the server as cold by assumption after it has answered a probe."""
         self._assumed_until = float("-inf")
 
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -218,7 +218,7 @@
         """The backend server answered a probe, and stays cold for `remaining` seconds."""
         now = self._clock()
         was_cold = self.admission.cold.is_cold(now)
-        self.admission.cold.probed()
+        self.admission.cold.on_probe_answered()
         self.admission.cold.on_report(remaining, now)
         is_cold = self.admission.cold.is_cold(now)
         if is_cold and not was_cold:
--- a/test/test_coldstarts.py
+++ b/test/test_coldstarts.py
@@ -123,7 +123,7 @@
             case "told":
                 starts.on_report(3.0, now)
             case "asked":
-                starts.probed()
+                starts.on_probe_answered()
             case "assume":
                 starts.assume(now)
     assert most_in_any_second(cold_starts) <= RATE.max_per_second < BOUND
@@ -134,7 +134,7 @@
     starts.set_rate(RATE)
     starts.on_report(3.0, 1.0)
     starts.on_report(0.0, 1.1)
-    starts.probed()
+    starts.on_probe_answered()
     assert starts.is_cold(3.9) and not starts.is_cold(4.1)
 
 
@@ -143,7 +143,7 @@
     starts.set_rate(RATE)
     starts.assume(1.0)
     assert starts.is_cold(1.1)
-    starts.probed()
+    starts.on_probe_answered()
     assert not starts.is_cold(1.1)
 
 
