--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -83,7 +83,7 @@
         if remaining > 0:
             self._reported_until = max(self._reported_until, now + remaining)
 
-    def assume(self, now: float) -> None:
+    def assume_cold(self, now: float) -> None:
         """Treats the server as cold until it is probed, as it may have become cold without a
         report.
         """
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -139,7 +139,7 @@
         gets no more than a cold server bears until it is probed.
         """
         self.admission.closures.remove(ClosedBy.ZONE_DRAINED)
-        self.admission.cold.assume(self._clock())
+        self.admission.cold.assume_cold(self._clock())
         self.needs_probe.set()
 
     def on_lost(self) -> None:
@@ -175,7 +175,7 @@
             logs.info("backend-back")
             self.admission.closures.remove(ClosedBy.SERVER_LOST)
             # It may have crashed and come back cold; its answer to a probe clears this.
-            self.admission.cold.assume(self._clock())
+            self.admission.cold.assume_cold(self._clock())
             self.assume_usual_speed()
 
     def learn(self, load: BackendLoad) -> None:
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -137,7 +137,7 @@
         now = self._clock()
         cold.replaced()
         if registered.warm_at is None:
-            cold.assume(now)
+            cold.assume_cold(now)
         else:
             cold.on_report(registered.warm_at - now, now)
 
--- a/test/test_coldstarts.py
+++ b/test/test_coldstarts.py
@@ -125,7 +125,7 @@
             case "asked":
                 starts.on_probe_answered()
             case "assume":
-                starts.assume(now)
+                starts.assume_cold(now)
     assert most_in_any_second(cold_starts) <= RATE.max_per_second < BOUND
 
 
@@ -141,7 +141,7 @@
 def test_what_is_only_assumed_ends_with_the_servers_answer():
     starts = ColdStartLimiter()
     starts.set_rate(RATE)
-    starts.assume(1.0)
+    starts.assume_cold(1.0)
     assert starts.is_cold(1.1)
     starts.on_probe_answered()
     assert not starts.is_cold(1.1)
@@ -243,7 +243,7 @@
     async def scenario():
         gate = Gate(Admission(AdmissionSettings(slots=20)), View(), lambda: 0.0)
         gate.admission.cold.set_rate(RATE)
-        gate.admission.cold.assume(0.0)
+        gate.admission.cold.assume_cold(0.0)
         for _ in range(int(RATE.burst)):
             await gate.enter(call(), UNLIMITED)
         waiting = asyncio.create_task(gate.enter(call(), UNLIMITED))
