--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -94,7 +94,7 @@
         """Stops treating the server as cold by assumption after it has answered a probe."""
         self._assumed_until = float("-inf")
 
-    def replaced(self) -> None:
+    def on_server_replaced(self) -> None:
         """Discards the state of the previous server after another one has replaced it."""
         self._reported_until = float("-inf")
         self._assumed_until = float("-inf")
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -135,7 +135,7 @@
             self._gate.speed_unknown()
         cold = self._gate.admission.cold
         now = self._clock()
-        cold.replaced()
+        cold.on_server_replaced()
         if registered.warm_at is None:
             cold.assume_cold(now)
         else:
