--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -103,7 +103,7 @@
         """Whether the rate limit applies."""
         return self.rate is not None and now < max(self._reported_until, self._assumed_until)
 
-    def is_assumed(self, now: float) -> bool:
+    def is_assumed_cold(self, now: float) -> bool:
         """Whether the server is treated as cold until it is probed."""
         return self.rate is not None and now < self._assumed_until
 
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -234,7 +234,7 @@
         if self.is_closed_by(ClosedBy.ZONE_UNKNOWN) or self.is_closed_by(ClosedBy.ZONE_DRAINED):
             return False
         now = self._clock()
-        if admission.cold.is_assumed(now):
+        if admission.cold.is_assumed_cold(now):
             return True
         if not admission.timing.is_speed_known or admission.queued:
             return True
