--- a/packages/wheatslip/wheatslip/callerwait.py
+++ b/packages/wheatslip/wheatslip/callerwait.py
@@ -31,7 +31,7 @@
 
     _routes: OrderedDict[str, _LongestDeadlines] = field(default_factory=OrderedDict)
 
-    def waited(self, route: str, remaining: float, now: float) -> float:
+    def elapsed_wait(self, route: str, remaining: float, now: float) -> float:
         """Returns the seconds since the first attempt of a caller whose deadline is `remaining`
         seconds away; 0 for a first attempt.
         """
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -52,7 +52,7 @@
     def _call(self, request: EntryRequest, route: Route, remaining: float) -> Call:
         assert request.service is not None
         allowed = min(route.timeout, remaining)
-        waited = self.caller_wait.waited(route.name, remaining, request.arrived)
+        elapsed_wait = self.caller_wait.elapsed_wait(route.name, remaining, request.arrived)
         urgent = route.priority == 0
         call_class = CallClass.URGENT if urgent else CallClass.NORMAL
         arrived = request.arrived
@@ -63,7 +63,7 @@
             service=request.service.name,
             kind=RequestKind(route.name, route.repeatable, call_class),
             deadline=arrived + allowed,
-            target=arrived + target - waited,
+            target=arrived + target - elapsed_wait,
             hold_until=arrived + target,
             max_attempts=route.max_attempts,
             request_id=request_id.decode("latin-1"),
