--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -34,7 +34,7 @@
 
 Refusals with other reasons have no time. The daemon's `entry/answers.py` maps each reason to
 its HTTP status, 503 by default. If a 503 has no time, callers that use routes get
-`UNTIMED`, and callers with a workspace's credential get no `Retry-After`.
+`DEFAULT_RETRY_AFTER_SECONDS`, and callers with a workspace's credential get no `Retry-After`.
 
 The times are fixed except for `overloaded_refusal` and `held`: 1 s if the daemon can't
 know when the cause ends, less if a probe or a heartbeat will soon tell, and the minimum if
@@ -47,7 +47,7 @@
 # Keeps refused callers from retrying immediately.
 MIN_RETRY_AFTER_SECONDS = 0.05
 # Seconds; `Retry-After` for callers that use routes, if the refusal has no time.
-UNTIMED = 0.1
+DEFAULT_RETRY_AFTER_SECONDS = 0.1
 
 STOPPING = NotRun(Reason.DRAINING, 1.0)
 NOT_CONFIGURED = NotRun(Reason.NO_CONFIGURATION, 1.0)
--- a/packages/wheatslipd/wheatslipd/entry/answers.py
+++ b/packages/wheatslipd/wheatslipd/entry/answers.py
@@ -4,7 +4,7 @@
 
 from wheatslip.hop import OUTCOME_HEADER, encode_outcome
 from wheatslip.outcome import NotRun, Reason, Unknown
-from wheatslip.retryafter import UNTIMED
+from wheatslip.retryafter import DEFAULT_RETRY_AFTER_SECONDS
 
 from wheatslipd.http.exchange import Exchange
 from wheatslipd.http.messages import Headers, ResponseHead
@@ -52,7 +52,7 @@
     status = status_of(outcome, by_routes=by_routes)
     if by_routes:
         if status == NOT_RUN_DEFAULT and isinstance(outcome, NotRun):
-            wait = outcome.retry_after or UNTIMED
+            wait = outcome.retry_after or DEFAULT_RETRY_AFTER_SECONDS
             headers.append((b"retry-after", b"%.3f" % wait))
     elif isinstance(outcome, NotRun) and outcome.retry_after is not None:
         # Retry-After has whole seconds only, so the exact time goes with it.
