--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -24,7 +24,7 @@
 | `EVICTED` | over-share, 0.5 | gate: evicted from a full queue by another \
 workspace's request |
 | `NO_CONNECTION` | unreachable, 1 | gate: can't connect to the server |
-| `TURNED_AWAY` | shed, 1 | gate: the server rejected the request |
+| `SHED_BY_SERVER` | shed, 1 | gate: the server rejected the request |
 | `LEASE_LAPSED` | lease-lapsed, 1 | gate: it has no valid lease on keys |
 | `NOT_KEY_OWNER` | not-key-owner, 1 | gate: another daemon owns the key |
 | `held(seconds)` | ends-servers, `seconds` | entry, gate: each backend server \
@@ -63,7 +63,7 @@
 EVICTED = NotRun(Reason.OVER_SHARE, 0.5)
 
 NO_CONNECTION = NotRun(Reason.UNREACHABLE, 1.0)
-TURNED_AWAY = NotRun(Reason.SHED, 1.0)
+SHED_BY_SERVER = NotRun(Reason.SHED, 1.0)
 
 LEASE_LAPSED = NotRun(Reason.LEASE_LAPSED, 1.0)
 NOT_KEY_OWNER = NotRun(Reason.NOT_KEY_OWNER, 1.0)
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -26,7 +26,7 @@
 )
 from wheatslip.ledger import Claim, KeptAnswer, KeyState, key_time
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
-from wheatslip.retryafter import TURNED_AWAY
+from wheatslip.retryafter import SHED_BY_SERVER
 
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
@@ -294,7 +294,7 @@
         if self._was_not_run(response.head, passage.call):
             if self.server and response.head.status == MISDIRECTED:
                 self._gate.server_replaced()
-            return TURNED_AWAY
+            return SHED_BY_SERVER
         headers = [
             (name, value)
             for name, value in response.head.forwarded()
