--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -27,7 +27,7 @@
 | `SHED_BY_SERVER` | shed, 1 | gate: the server rejected the request |
 | `LEASE_LAPSED` | lease-lapsed, 1 | gate: it has no valid lease on keys |
 | `NOT_KEY_OWNER` | not-key-owner, 1 | gate: another daemon owns the key |
-| `held(seconds)` | ends-servers, `seconds` | entry, gate: each backend server \
+| `held_refusal(seconds)` | ends-servers, `seconds` | entry, gate: each backend server \
 that ran the request ended, so it is held back |
 | `SUSPECT_RUNS` | overloaded, 0.05 | gate: the request is suspected of ending \
 servers, and another such request runs here |
@@ -36,7 +36,7 @@
 its HTTP status, 503 by default. If a 503 has no time, callers that use routes get
 `DEFAULT_RETRY_AFTER_SECONDS`, and callers with a workspace's credential get no `Retry-After`.
 
-The times are fixed except for `overloaded_refusal` and `held`: 1 s if the daemon can't
+The times are fixed except for `overloaded_refusal` and `held_refusal`: 1 s if the daemon can't
 know when the cause ends, less if a probe or a heartbeat will soon tell, and the minimum if
 another server can take the request at once. A longer time keeps callers away from servers with
 free capacity; after a shorter one they are likely to be refused again.
@@ -76,6 +76,6 @@
     return NotRun(Reason.OVERLOADED, max(MIN_RETRY_AFTER_SECONDS, wait))
 
 
-def held(seconds: float) -> NotRun:
+def held_refusal(seconds: float) -> NotRun:
     """Returns the refusal of a request that is held back for another `seconds`."""
     return NotRun(Reason.ENDS_SERVERS, max(MIN_RETRY_AFTER_SECONDS, seconds))
--- a/packages/wheatslipd/wheatslipd/entry/sendguard.py
+++ b/packages/wheatslipd/wheatslipd/entry/sendguard.py
@@ -10,7 +10,7 @@
 from wheatslip.hop import FINGERPRINT_HEADER, SUSPECT_HEADER
 from wheatslip.outcome import NotRun, Outcome, Reason, Unknown
 from wheatslip.quarantine import Quarantine
-from wheatslip.retryafter import held
+from wheatslip.retryafter import held_refusal
 
 from wheatslipd.http.identity import fingerprint_of
 from wheatslipd.http.messages import Headers, RequestHead
@@ -41,7 +41,7 @@
             return None
         fingerprint = self._made(head, body)
         seconds = self._quarantine.held_for(fingerprint, self._unix())
-        return held(seconds) if seconds > 0 else None
+        return held_refusal(seconds) if seconds > 0 else None
 
     def headers(self, head: RequestHead, body: bytes, *, is_whole: bool) -> Headers:
         """What the gate must be told beside the hop; a whole body tells it the fingerprint."""
--- a/packages/wheatslipd/wheatslipd/gate/suspects.py
+++ b/packages/wheatslipd/wheatslipd/gate/suspects.py
@@ -12,7 +12,7 @@
 from wheatslip.call import UNLIMITED, Call
 from wheatslip.outcome import NotRun
 from wheatslip.quarantine import Quarantine, Standing
-from wheatslip.retryafter import SUSPECT_RUNS, held
+from wheatslip.retryafter import SUSPECT_RUNS, held_refusal
 
 # Seconds that a suspect waits for another one at the most: some service times. Longer, one that
 # hangs holds up all; shorter, innocent ones are refused while they could still be answered.
@@ -68,7 +68,7 @@
     def _refusal(self, fingerprint: str) -> NotRun | None:
         """The refusal of a request that is held; None if it is not."""
         seconds = self._quarantine.held_for(fingerprint, self._unix())
-        return held(seconds) if seconds > 0 else None
+        return held_refusal(seconds) if seconds > 0 else None
 
     async def _enter_lane(self, call: Call, max_wait: float) -> bool:
         """Wait until no other suspect runs here; False if that takes too long."""
