--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -174,7 +174,7 @@
         return UNLIMITED
 
     def _again_after_refusal(self, refusal: NotRun) -> bool:
-        if not (refusal.retryable and self.can_resend):
+        if not (refusal.is_retryable and self.can_resend):
             return False
         if refusal.reason is Reason.SHED:
             self.arrivals += 1
--- a/packages/wheatslip/wheatslip/outcome.py
+++ b/packages/wheatslip/wheatslip/outcome.py
@@ -73,7 +73,7 @@
     retry_after: float | None = None
 
     @property
-    def retryable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether the request may be sent to another upstream."""
         return self.reason in RETRYABLE
 
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -239,7 +239,7 @@
     one, _ = gate()
     one.admission.closures.add(ClosedBy.SERVER_UNKNOWN)
     refusal = one.admission.arrive(call(), 0.0)
-    assert refusal.reason is Reason.NOT_READY and refusal.retryable
+    assert refusal.reason is Reason.NOT_READY and refusal.is_retryable
     assert not one.report().leaving
     one.server_stays()
     assert one.admission.arrive(call(), 0.0).started is not None
