--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -35,7 +35,7 @@
 
 from wheatslip.call import UNLIMITED
 from wheatslip.hop import LoadReport
-from wheatslip.limit import INITIAL_LIMIT, INITIAL_SERVICE
+from wheatslip.limit import INITIAL_LIMIT, INITIAL_SERVICE_TIME_SECONDS
 from wheatslip.upstream import Upstream
 
 __all__ = ["Chooser", "ChooserSettings", "Upstream"]
@@ -129,7 +129,7 @@
         if len(drawn) == 1:
             return drawn[0]
         known = (u.report.service for u in drawn if u.report is not None)
-        typical = max(MIN_SERVICE, min(known, default=INITIAL_SERVICE))
+        typical = max(MIN_SERVICE, min(known, default=INITIAL_SERVICE_TIME_SECONDS))
         return min(drawn, key=lambda u: self.cost(u, typical, now) * self._jitter())
 
     def cost(self, upstream: Upstream, typical: float, now: float) -> float:
--- a/packages/wheatslip/wheatslip/limit.py
+++ b/packages/wheatslip/wheatslip/limit.py
@@ -22,7 +22,7 @@
 # but not to a short overload.
 BASELINE_WEIGHT = 0.02
 # Service time in seconds that is assumed before the first response.
-INITIAL_SERVICE = 0.005
+INITIAL_SERVICE_TIME_SECONDS = 0.005
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     """
 
     slots: int = 0
-    service_time: float = INITIAL_SERVICE
+    service_time: float = INITIAL_SERVICE_TIME_SECONDS
     _value: float = INITIAL_LIMIT
     _baseline: float = 0.0
     _has_samples: bool = False
