--- a/packages/wheatslip/wheatslip/distribution/__init__.py
+++ b/packages/wheatslip/wheatslip/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""How configuration reaches every daemon: who follows whom, and what a follower lacks."""
+"""Distribution of configuration to the daemons: the relay tree and the updates sent in it."""
--- a/packages/wheatslip/wheatslip/distribution/chunks.py
+++ b/packages/wheatslip/wheatslip/distribution/chunks.py
@@ -1,7 +1,7 @@
-"""Control messages on narrow links: compressed, and cut into chunks.
+"""Compresses control messages and splits them into chunks.
 
-A receiver that bounds the wait for each chunk can tell a sender that is gone from one whose
-message takes long on the link between them. Pure; the relay sends and receives the chunks.
+A receiver applies its timeout to each chunk, so it can distinguish a lost sender from a long
+message on a slow link. This module does no I/O; the relay sends and receives the chunks.
 """
 
 import zlib
@@ -10,17 +10,14 @@
 import msgspec
 from result import Err, Ok, Result
 
-CHUNK_BYTES = 32 * 1024  # a twentieth of a second on a link of 650 kB/s
-PACK_FROM = 1024  # bytes; a shorter message is sent as it is
-# The fastest of zlib's levels. A difference of 1,400 routes has 242 kB: level 1 makes 27 kB of
-# it in 1 ms, level 6 makes 23 kB in 2.2 ms.
-PACK_LEVEL = 1
-# Bytes unpacked; a longer message is refused as a defect of the sender.
-LONGEST_MESSAGE = 64 * 1024 * 1024
+CHUNK_BYTES = 32 * 1024
+COMPRESS_FROM_BYTES = 1024  # shorter messages are sent uncompressed
+ZLIB_LEVEL = 1  # the fastest level
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # after decompression; longer messages are rejected
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True):
-    """A chunk of a message; `is_packed` is the same for all chunks of it."""
+    """Part of a message. `is_packed` (compressed) is the same in all chunks of a message."""
 
     data: bytes
     is_last: bool
@@ -28,41 +25,41 @@
 
 
 def cut(message: bytes) -> Iterator[Chunk]:
-    """The chunks of a message, at least one."""
-    is_packed = len(message) >= PACK_FROM
-    data = zlib.compress(message, PACK_LEVEL) if is_packed else message
+    """Yields the chunks of a message, at least one."""
+    is_packed = len(message) >= COMPRESS_FROM_BYTES
+    data = zlib.compress(message, ZLIB_LEVEL) if is_packed else message
     last = max(0, len(data) - 1) // CHUNK_BYTES * CHUNK_BYTES
     for start in range(0, last + 1, CHUNK_BYTES):
         yield Chunk(data[start : start + CHUNK_BYTES], start == last, is_packed)
 
 
 class Joiner:
-    """Joins the chunks of a message, one message after the other."""
+    """Reassembles messages from their chunks, which must arrive in order."""
 
     def __init__(self) -> None:
         self._chunks: list[bytes] = []
         self._size = 0
 
     def add(self, chunk: Chunk) -> Result[bytes | None, str]:
-        """Take the next chunk; the message if it is whole now. The error is a sentence."""
+        """Adds the next chunk. Returns the message if it is complete, or an error text."""
         self._chunks.append(chunk.data)
         self._size += len(chunk.data)
-        if self._size > LONGEST_MESSAGE:
-            return Err(f"a message of more than {LONGEST_MESSAGE} bytes")
+        if self._size > MAX_MESSAGE_BYTES:
+            return Err(f"message exceeds {MAX_MESSAGE_BYTES} bytes")
         if not chunk.is_last:
             return Ok(None)
         message = b"".join(self._chunks)
         self._chunks.clear()
         self._size = 0
-        return _unpacked(message) if chunk.is_packed else Ok(message)
+        return _decompress(message) if chunk.is_packed else Ok(message)
 
 
-def _unpacked(data: bytes) -> Result[bytes | None, str]:
-    unpacker = zlib.decompressobj()
+def _decompress(data: bytes) -> Result[bytes | None, str]:
+    decompressor = zlib.decompressobj()
     try:
-        message = unpacker.decompress(data, LONGEST_MESSAGE)
+        message = decompressor.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as error:
-        return Err(f"a message that can't be unpacked: {error}")
-    if not unpacker.eof:
-        return Err(f"a message that is cut short, or of more than {LONGEST_MESSAGE} bytes")
+        return Err(f"message cannot be decompressed: {error}")
+    if not decompressor.eof:
+        return Err(f"compressed message is truncated or exceeds {MAX_MESSAGE_BYTES} bytes")
     return Ok(message)
--- a/packages/wheatslip/wheatslip/distribution/endlog.py
+++ b/packages/wheatslip/wheatslip/distribution/endlog.py
@@ -1,7 +1,8 @@
-"""The reports of ends of servers that a daemon knows, in the order in which they came here.
+"""Log of the end reports that a daemon has received, in order of arrival.
 
-Reports are a set that only grows, until they are too old: whichever way one comes, and however
-often, it is taken once. So daemons may pass them on in any direction. Pure.
+An end report says that a backend server ended while requests ran on it, or that an operator
+released a held request. Duplicates are ignored by report id, so daemons may forward reports in
+any direction. Reports are dropped when they expire. This module does no I/O.
 """
 
 from collections import OrderedDict
@@ -9,27 +10,26 @@
 
 from wheatslip.quarantine import EndReport, is_valid
 
-# Reports kept for followers, up to 1.3 kB each; the oldest give way.
-MAX_REPORTS = 512
+MAX_REPORTS = 512  # kept for followers, up to 1.3 kB each; the oldest are evicted
 
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
     position: int
-    source: str  # the daemon that it came from
+    source: str  # name of the daemon that sent the report
     report: EndReport
 
 
 class EndLog:
-    """The reports, each with its position. Positions are this daemon's own."""
+    """The reports by position. Positions are local to this daemon."""
 
     def __init__(self) -> None:
         self._entries: OrderedDict[str, _Entry] = OrderedDict()  # by the report's id
         self.position = 0  # of the last report
 
     def add(self, report: EndReport, source: str, now: float) -> bool:
-        """Take a report that came from the daemon `source`; whether it is new here and young
-        enough to count. `now` is in unix seconds.
+        """Adds a report sent by the daemon `source`. Returns false for a duplicate or expired
+        report. `now` is in unix seconds.
         """
         self._drop_expired(now)
         if report.id in self._entries or not is_valid(report, now):
@@ -41,7 +41,7 @@
         return True
 
     def after(self, position: int, but_from: str = "") -> tuple[EndReport, ...]:
-        """The reports behind a position, except those that came from the daemon `but_from`."""
+        """The reports after a position, except those sent by the daemon `but_from`."""
         return tuple(
             entry.report
             for entry in self._entries.values()
--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -1,8 +1,9 @@
-"""A daemon's copy of what the platform holds for all: the list, the head with its bundle, and
-the zone drains; beside it the reports of ends of servers, which pass between daemons.
+"""A daemon's copy of the shared state, and the updates that bring a follower up to date.
 
-It also works out what a follower lacks. Pure: the daemon's tasks fill it and give the time. The
-platform stays the only store; the copy starts empty with the process.
+The state is the instance list, the head with its bundle, the zone drains and the end reports.
+All but the end reports come from the platform, which is the only persistent store; the copy is
+empty at process start. This module does no I/O: the daemon's tasks fill the cache and pass the
+time.
 """
 
 from collections import deque
@@ -19,15 +20,13 @@
 from wheatslip.quarantine import EndReport
 from wheatslip.store.instances import Instance
 
-# Differences of bundles that are kept; a follower that lacks more gets the whole bundle.
-KEPT_DELTAS = 64
-# Changes of the list that are kept; a follower that lacks more gets the whole list.
-KEPT_LIST_CHANGES = 2000
-UNKNOWN = -1  # version of zone drains that are not known
+MAX_DELTAS = 64  # a follower that needs older bundle deltas gets the whole bundle
+MAX_LIST_CHANGES = 2000  # a follower that needs older changes gets the whole instance list
+UNKNOWN_VERSION = -1  # no zone drains received yet
 
 
 class ListChange(msgspec.Struct, frozen=True, array_like=True):
-    """One change of the list at a version; `instance` is None when `name` is gone."""
+    """A change of the instance list at `version`; `instance` is None if `name` was removed."""
 
     version: int
     name: str
@@ -35,108 +34,109 @@
 
 
 class Cursor(msgspec.Struct, frozen=True):
-    """What a follower has: versions of the bundle and of the list (0: nothing), and of the
-    zone drains.
+    """The versions that a follower has of the bundle and the instance list (0: none), and of
+    the zone drains (`UNKNOWN_VERSION`: none).
     """
 
     follower: str
     bundle: int = 0
     listed: int = 0
-    drained: int = UNKNOWN
+    drained: int = UNKNOWN_VERSION
 
 
 class Update(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a follower lacks.
-
-    `as_of` is the unix time, by a watcher's clock, at which the platform last told a watcher
-    what the head is, or that it has not changed. `checked` is the time at which the platform
-    last confirmed the list to a watcher, or did not answer it. `head_at` is the store's version
-    up to which no newer head than the sender's was written, 0 if that was sent before.
-    `heartbeat` are the seconds in which the sender sends at least one update; it is told with
-    the first one.
+    """The state that a follower does not have yet.
+
+    `as_of` is the unix time, by a watcher's clock, at which the platform last reported the head
+    to a watcher or confirmed that it is unchanged. `checked` is the time at which the platform
+    last confirmed the instance list to a watcher, or did not answer it. `head_at` is the store
+    version up to which no newer head than the sender's was written, or 0 if it was sent before.
+    `heartbeat` is the longest time between two updates of the sender, in seconds; only the
+    first update of a stream has it.
     """
 
     as_of: float
     checked: float = 0.0
-    listed: int = 0  # version of the list up to which `changes` lead
+    listed: int = 0  # version of the instance list after `changes`
     changes: tuple[ListChange, ...] = ()
-    whole: bool = False  # `changes` are the whole list
-    head: Head | None = None  # if the follower's is older
-    signed: SignedBundle | None = None  # the bundle of `head`, unless `deltas` lead to it
+    whole: bool = False  # `changes` is the whole list
+    head: Head | None = None  # set if the follower's head is older
+    signed: SignedBundle | None = None  # the bundle of `head`; None if `deltas` are sent
     deltas: tuple[BundleDelta, ...] = ()
-    drains: ZoneDrains | None = None  # if the follower's are older
-    ends: tuple[EndReport, ...] = ()  # reports of ends of servers, not sent on this stream yet
+    drains: ZoneDrains | None = None  # set if the follower's drains are older
+    ends: tuple[EndReport, ...] = ()  # end reports not yet sent on this stream
     head_at: int = 0
     heartbeat: float = 0.0
 
 
 class FeedCache:
-    """The copy, with the latest changes."""
+    """The copy and its latest changes."""
 
     def __init__(self) -> None:
         self.as_of = 0.0
         self.checked = 0.0
         self.listed = 0
         self.instances: dict[str, Instance] = {}
-        self._versions: dict[str, int] = {}  # of the last change of each instance
+        self._versions: dict[str, int] = {}  # version of the last change, by instance name
         self.head: Head | None = None
-        self.head_at = 0  # the store's version up to which no newer head was written
+        self.head_at = 0  # store version up to which no newer head was written
         self.bundle: Bundle | None = None
-        self.drains: ZoneDrains | None = None  # None: not known yet
+        self.drains: ZoneDrains | None = None  # None: not received yet
         self.ends = EndLog()
         self._signed: SignedBundle | None = None
-        self._deltas: deque[BundleDelta] = deque(maxlen=KEPT_DELTAS)
-        self._changes: deque[ListChange] = deque(maxlen=KEPT_LIST_CHANGES)
-        self._complete_since = 0
+        self._deltas: deque[BundleDelta] = deque(maxlen=MAX_DELTAS)
+        self._changes: deque[ListChange] = deque(maxlen=MAX_LIST_CHANGES)
+        self._changes_complete_since = 0
 
     @property
     def bundle_bytes(self) -> int:
-        """Length of the bundle as it is signed; 0 if there is none."""
+        """Length of the signed bundle body; 0 if there is no bundle."""
         return len(self._signed.body) if self._signed is not None else 0
 
     def take_list(
         self, listed: int, changes: Iterable[ListChange], *, whole: bool
     ) -> list[ListChange]:
-        """Take in the whole list or changes of it, up to version `listed`; returns what is new.
+        """Applies the whole list, or changes up to version `listed`; returns those applied.
 
-        A list that was read in pages may hold later states than its version says. The changes
-        that led to them come again, and are left out.
+        A list that was read in pages may contain states later than its version. The changes
+        to those states arrive again later and are skipped.
         """
-        taken = []
+        applied = []
         if whole:
             self.instances.clear()
             self._versions.clear()
             self._changes.clear()
-            self._complete_since = listed
+            self._changes_complete_since = listed
         for change in changes:
             if not whole and change.version <= self.listed:
-                continue  # came by another way before
+                continue  # already received from another source
             if change.version < self.version_of(change.name):
                 continue
-            taken.append(change)
+            applied.append(change)
             self._apply(change)
             if not whole:
-                self._note(change)
+                self._keep_change(change)
         self.listed = listed
-        return taken
+        return applied
 
     def is_late(self, update: Update) -> bool:
-        """Whether an update's list is older than this one.
+        """Whether the update's list is older than this one.
 
-        An update of another daemon than the parent may come after newer ones. Taken in, it
-        would set instances back, and the changes between would not be sent again.
+        An update from a daemon other than the parent may arrive after newer ones. Applying it
+        would revert instances, and the changes in between would not be sent again.
         """
         return update.listed < self.listed
 
     def version_of(self, name: str) -> int:
         """The version of an instance's last change; 0 if it is not listed.
 
-        From a whole list of another daemon it is that of the list, which may be later.
+        After a whole list from another daemon it is the version of that list, which may be
+        later than the change.
         """
         return self._versions.get(name, 0)
 
     def take_bundle(self, head: Head, signed: SignedBundle, bundle: Bundle) -> None:
-        """Take in a verified bundle; an older one is ignored."""
+        """Stores a verified bundle, unless it is older than the current one."""
         if self.head is not None and head.version <= self.head.version:
             return
         if self.bundle is not None:
@@ -147,20 +147,20 @@
         self._signed = signed
 
     def take_drains(self, drains: ZoneDrains) -> bool:
-        """Take in the zone drains; whether they differ from before. Older ones are ignored.
+        """Stores the zone drains and returns true if they are newer and differ from before.
 
-        The version is kept where nothing differs, so that nothing is sent to followers.
+        If only the version is new, the old version is kept, so that followers get no update.
         """
-        known = self.drains
-        if known is not None and (
-            drains.version <= known.version or drains.drains == known.drains
+        current = self.drains
+        if current is not None and (
+            drains.version <= current.version or drains.drains == current.drains
         ):
             return False
         self.drains = drains
         return True
 
     def with_deltas(self, deltas: Iterable[BundleDelta]) -> Bundle | None:
-        """The bundle that differences lead to from ours; None if they do not fit."""
+        """The current bundle with `deltas` applied; None if they do not apply to it."""
         bundle = self.bundle
         for delta in deltas:
             if bundle is None or bundle.version != delta.base:
@@ -169,18 +169,18 @@
         return bundle
 
     def cursor(self, name: str) -> Cursor:
-        """What this daemon has, for the daemon that it follows."""
-        drained = UNKNOWN if self.drains is None else self.drains.version
+        """This daemon's own cursor, which it sends to its parent."""
+        drained = UNKNOWN_VERSION if self.drains is None else self.drains.version
         return Cursor(name, self.head.version if self.head else 0, self.listed, drained)
 
     def since(self, cursor: Cursor, head_at_sent: int = 0) -> Update:
-        """What a follower at `cursor` lacks; `head_at_sent` was sent to it before."""
+        """The update for a follower at `cursor`. `head_at_sent` is the last `head_at` sent."""
         changes, whole = self._list_since(cursor.listed)
         drains = self.drains
         if drains is not None and drains.version <= cursor.drained:
             drains = None
         head_at = self.head_at if self.head_at > head_at_sent else 0
-        news = Update(
+        update = Update(
             self.as_of,
             self.checked,
             self.listed,
@@ -190,18 +190,18 @@
             head_at=head_at,
         )
         if self.head is None or cursor.bundle >= self.head.version:
-            return news
+            return update
         deltas = self._deltas_since(cursor.bundle)
         signed = None if deltas else self._signed
-        return msgspec.structs.replace(news, head=self.head, signed=signed, deltas=deltas)
+        return msgspec.structs.replace(update, head=self.head, signed=signed, deltas=deltas)
 
     def _list_since(self, listed: int) -> tuple[tuple[ListChange, ...], bool]:
-        if listed < self._complete_since:
-            everything = (
+        if listed < self._changes_complete_since:
+            whole_list = (
                 ListChange(self.listed, name, instance)
                 for name, instance in self.instances.items()
             )
-            return tuple(everything), True
+            return tuple(whole_list), True
         return tuple(change for change in self._changes if change.version > listed), False
 
     def _deltas_since(self, version: int) -> tuple[BundleDelta, ...]:
@@ -218,8 +218,8 @@
             self.instances[change.name] = change.instance
             self._versions[change.name] = change.version
 
-    def _note(self, change: ListChange) -> None:
-        """Keep a change for followers; the oldest one gives way."""
+    def _keep_change(self, change: ListChange) -> None:
+        """Keeps a change for followers. If the queue is full, this evicts the oldest change."""
         if len(self._changes) == self._changes.maxlen:
-            self._complete_since = self._changes[0].version
+            self._changes_complete_since = self._changes[0].version
         self._changes.append(change)
--- a/packages/wheatslip/wheatslip/distribution/headage.py
+++ b/packages/wheatslip/wheatslip/distribution/headage.py
@@ -1,25 +1,25 @@
-"""Decides when news of the head have stopped coming, and when they come again. Pure."""
+"""Detects when confirmations of the head stop and when they resume. Does no I/O."""
 
 from enum import Enum
 
 
 class AgeChange(Enum):
-    """What has changed since the last look."""
+    """A transition between confirmed in time (`FOUND`) and confirmed too long ago (`LOST`)."""
 
     LOST = "lost"
     FOUND = "found"
 
 
 class HeadAge:
-    """Compares the age of the last confirmation of the head with a bound."""
+    """Compares the age of the head's last confirmation with a limit."""
 
     def __init__(self, lost_after: float):
-        """`lost_after`: seconds without a confirmation after which the news are lost."""
+        """`lost_after`: longest accepted age in seconds."""
         self._lost_after = lost_after
         self._is_lost = False
 
     def look(self, age: float) -> AgeChange | None:
-        """Take the seconds since the head was confirmed; None if nothing has changed."""
+        """Updates the state. `age` is in seconds; returns None if there was no transition."""
         was_lost = self._is_lost
         self._is_lost = age > self._lost_after
         if was_lost == self._is_lost:
--- a/test/test_chunks.py
+++ b/test/test_chunks.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from wheatslip.distribution import chunks
-from wheatslip.distribution.chunks import CHUNK_BYTES, PACK_FROM, Chunk, Joiner, cut
+from wheatslip.distribution.chunks import CHUNK_BYTES, COMPRESS_FROM_BYTES, Chunk, Joiner, cut
 
-EDGES = (0, 1, PACK_FROM - 1, PACK_FROM, PACK_FROM + 1)
+EDGES = (0, 1, COMPRESS_FROM_BYTES - 1, COMPRESS_FROM_BYTES, COMPRESS_FROM_BYTES + 1)
 
 
 def join(joiner, given):
@@ -53,6 +53,6 @@
 
 @pytest.mark.parametrize("is_packed", [False, True])
 def test_a_message_without_an_end_does_not_fill_the_memory(monkeypatch, is_packed):
-    monkeypatch.setattr(chunks, "LONGEST_MESSAGE", 10_000)
+    monkeypatch.setattr(chunks, "MAX_MESSAGE_BYTES", 10_000)
     data = zlib.compress(b"x" * 20_000) if is_packed else b"x" * 20_000
     assert Joiner().add(Chunk(data, is_last=True, is_packed=is_packed)).is_err()
--- a/test/test_feed_model.py
+++ b/test/test_feed_model.py
@@ -34,7 +34,7 @@
     def __init__(self):
         super().__init__()
         # Few, so that copies forget changes that others still ask for.
-        self.kept = mock.patch.object(feedcache, "KEPT_LIST_CHANGES", 3)
+        self.kept = mock.patch.object(feedcache, "MAX_LIST_CHANGES", 3)
         self.kept.start()
         self.version = 1
         self.truth: dict[str, Instance] = {}
