--- a/packages/wheatslip/wheatslip/store/__init__.py
+++ b/packages/wheatslip/wheatslip/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API: its client, the list of instances, registration of servers."""
+"""The platform's object API and its client, the instance list, and server registration."""
--- a/packages/wheatslip/wheatslip/store/instances.py
+++ b/packages/wheatslip/wheatslip/store/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, typed."""
+"""Types of the platform's instance list."""
 
 from enum import StrEnum
 
@@ -9,16 +9,16 @@
 
 
 class InstanceState(StrEnum):
-    """What the platform's list says of an instance; the list lags."""
+    """State of an instance in the platform's list, which may be out of date."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One instance: a backend server with the daemon beside it.
+    """A backend server and the daemon that runs beside it.
 
-    `incarnation` grows each time an instance is started anew under the same name.
+    `incarnation` increases each time an instance is restarted under the same name.
     """
 
     name: str
@@ -33,7 +33,7 @@
 
 
 def decode_instance(value: bytes | msgspec.Raw) -> Result[Instance, str]:
-    """An instance as the list keeps it (JSON); the error is a sentence."""
+    """Decodes an instance from the JSON in the list. The error is the decoder's message."""
     try:
         return Ok(msgspec.json.decode(value, type=Instance))
     except msgspec.DecodeError as error:
--- a/packages/wheatslip/wheatslip/store/objectclient.py
+++ b/packages/wheatslip/wheatslip/store/objectclient.py
@@ -1,7 +1,7 @@
 """Client of the platform's object API, over plain HTTP with JSON; see docs/PLATFORM.md.
 
-Every write carries a write id, so that one whose answer was lost is read back and never
-repeated blindly.
+Every update carries a write id. If its response is lost, the client reads the object back and
+compares the id instead of repeating the update.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 if TYPE_CHECKING:
     import aiohttp
 
-# Seconds without a byte of an answer, besides what a watch waits.
-REQUEST_TIMEOUT = 2.0
-# Seconds for a whole answer, besides: a bundle of 16 MB at 1 MB/s.
-WHOLE_ANSWER_TIMEOUT = 16.0
-READ_BACK_TRIES = 5  # of a write whose answer was lost
+# Longest time without a byte of the response; a watch adds the time that it waits.
+IDLE_TIMEOUT_SECONDS = 2.0
+# Added to the idle timeout for the whole response: a bundle of 16 MB at 1 MB/s.
+TRANSFER_TIMEOUT_SECONDS = 16.0
+MAX_READ_BACKS = 5  # of an update whose response was lost
 
 
 class WriteBody(msgspec.Struct, frozen=True):
@@ -41,24 +41,22 @@
 
 
 class ObjectClient:
-    """Reads, conditional updates and watches of the platform's objects."""
+    """Reads, updates and watches objects. Its reads are never stale, whatever `stale_ok` is."""
 
     def __init__(self, address: str, rng: Random):
-        """`address` is `HOST:PORT` by IP number."""
+        """`address` is `HOST:PORT`, with the host as an IP address."""
         self._base = f"http://{address}"
         self._rng = rng
         self._session: aiohttp.ClientSession | None = None
         self.calls = 0
 
     async def close(self) -> None:
-        """Close the connections."""
         if self._session is not None:
             await self._session.close()
 
     async def get(
         self, kind: str, name: str, *, stale_ok: bool = False
     ) -> Result[StoredObject | None, Unavailable]:
-        """One object, or None if it does not exist; never a stale one."""
         answer = await self._call("GET", f"/objects/{kind}/{name}")
         match answer:
             case Ok((200, body)):
@@ -68,7 +66,6 @@
         return Err(_unavailable(answer))
 
     async def list(self, kind: str, *, stale_ok: bool = False) -> Result[Listing, Unavailable]:
-        """All objects of a kind, never stale ones."""
         answer = await self._call("GET", f"/objects/{kind}")
         match answer:
             case Ok((200, body)):
@@ -79,9 +76,8 @@
     async def changes(
         self, kind: str, since: int, wait: float = WATCH_SECONDS
     ) -> Result[Listing, ReadError]:
-        """Objects of a kind changed after version `since`; waits up to `wait` seconds."""
         path = f"/objects/{kind}?since={since}&wait={wait}"
-        answer = await self._call("GET", path, timeout=wait + REQUEST_TIMEOUT)
+        answer = await self._call("GET", path, timeout=wait + IDLE_TIMEOUT_SECONDS)
         match answer:
             case Ok((200, body)):
                 return Ok(msgspec.json.decode(body, type=Listing))
@@ -92,10 +88,10 @@
     async def put(
         self, kind: str, name: str, value: object, expected: int
     ) -> Result[StoredObject, WriteError]:
-        """Write an object that stands at version `expected` (0: does not exist yet).
+        """Writes an object if its version is `expected` (0: it does not exist yet).
 
-        If the answer is lost the object is read back; `Unavailable` means that even
-        this could not tell.
+        If the response is lost, the object is read back. `Unavailable` means that the call rate
+        was exceeded, or that it could not be determined whether the write took effect.
         """
         write_id = f"{self._rng.getrandbits(128):032x}"
         encoded = msgspec.Raw(msgspec.json.encode(value))
@@ -107,11 +103,11 @@
             case Ok((409, data)):
                 return Err(Conflict(msgspec.json.decode(data, type=StoredObject | None)))
             case Ok((429, _)):
-                return Err(Unavailable("over the call rate"))
+                return Err(Unavailable("call rate limit exceeded"))
         return await self._read_back(kind, name, write_id, expected)
 
     async def delete(self, kind: str, name: str, expected: int) -> Result[None, WriteError]:
-        """Remove an object that stands at version `expected`; one that is gone is fine."""
+        """Deletes an object if its version is `expected`; succeeds if it does not exist."""
         answer = await self._call("DELETE", f"/objects/{kind}/{name}?expected={expected}")
         match answer:
             case Ok((204 | 404, _)):
@@ -124,31 +120,31 @@
         self, kind: str, name: str, write_id: str, expected: int
     ) -> Result[StoredObject, WriteError]:
         backoff = Backoff(self._rng)
-        for _ in range(READ_BACK_TRIES):
+        for _ in range(MAX_READ_BACKS):
             await asyncio.sleep(backoff.next())
             match await self.get(kind, name):
-                case Ok(StoredObject() as found) if found.write_id == write_id:
-                    return Ok(found)
-                case Ok(found) if (found.version if found else 0) != expected:
-                    return Err(Conflict(found))
-        return Err(Unavailable("the answer to a write was lost; its effect is unknown"))
+                case Ok(StoredObject() as stored) if stored.write_id == write_id:
+                    return Ok(stored)
+                case Ok(stored) if (stored.version if stored else 0) != expected:
+                    return Err(Conflict(stored))
+        return Err(Unavailable("response to a write lost; unknown whether it took effect"))
 
     async def _call(
         self,
         method: str,
         path: str,
         body: bytes | None = None,
-        timeout: float = REQUEST_TIMEOUT,
+        timeout: float = IDLE_TIMEOUT_SECONDS,
     ) -> Result[tuple[int, bytes], Unavailable]:
-        # Imported when it is needed: a daemon on another store starts without it.
+        # Imported lazily: a daemon with another store does not need aiohttp.
         import aiohttp
 
         if self._session is None:
             self._session = aiohttp.ClientSession()
         self.calls += 1
         limit = aiohttp.ClientTimeout(
-            total=timeout + WHOLE_ANSWER_TIMEOUT,
-            sock_connect=REQUEST_TIMEOUT,
+            total=timeout + TRANSFER_TIMEOUT_SECONDS,
+            sock_connect=IDLE_TIMEOUT_SECONDS,
             sock_read=timeout,
         )
         try:
@@ -163,8 +159,8 @@
 
 def _unavailable(answer: Result[tuple[int, bytes], Unavailable]) -> Unavailable:
     match answer:
-        case Err(trouble):
-            return trouble
+        case Err(error):
+            return error
         case Ok((status, body)):
             return Unavailable(f"HTTP {status}: {body[:200].decode(errors='replace')}")
     raise AssertionError(answer)
--- a/packages/wheatslip/wheatslip/store/objects.py
+++ b/packages/wheatslip/wheatslip/store/objects.py
@@ -1,7 +1,6 @@
-"""The platform's objects: versions, conditional updates and watches, whatever store keeps them.
+"""Interface to the platform's versioned objects: reads, conditional updates and watches.
 
-`ObjectClient` speaks to the platform's object API; an embedder may put another store in its
-place.
+`ObjectClient` implements it for the platform's object API. Embedders may supply another store.
 """
 
 import asyncio
@@ -15,12 +14,13 @@
 
 from wheatslip.store.backoff import BACKOFF_LAST, Backoff
 
-# Seconds that one watch waits, so also how often a quiet one confirms that nothing has changed.
+# Longest wait of one watch call. Without changes it returns an empty listing after that time,
+# which confirms the version.
 WATCH_SECONDS = 5.0
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object as the platform keeps it. `version` grows with every change of its kind."""
+    """An object as stored. `version` increases with every change of any object of its kind."""
 
     kind: str
     name: str
@@ -33,8 +33,8 @@
 class Listing(msgspec.Struct, frozen=True):
     """Objects of one kind, and the version up to which the listing is complete.
 
-    `whole`: these are all objects there are, rather than what has changed. `stale`: the
-    platform may have acknowledged later changes already.
+    `whole`: the listing has all objects, not only the changed ones. `stale`: the platform may
+    already have acknowledged later changes.
     """
 
     version: int
@@ -52,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The platform did not answer, or not in time; a write may have taken effect.
+    """The platform did not answer in time or failed; a write may have taken effect.
 
-    `call` names what was asked, alike for all tries of it.
+    `call` is the method and path of the call, without the query; all its retries share it.
     """
 
     detail: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TooOld:
-    """The watch's version is no longer kept: list again."""
+    """The platform no longer keeps the changes since that version: list again."""
 
 
 ReadError = Unavailable | TooOld
@@ -71,16 +71,16 @@
 
 
 class ObjectStore(Protocol):
-    """The platform's objects as the tasks here see them: the port for other stores.
+    """Access to the platform's objects. `calls` counts the calls to the platform.
 
-    `stale_ok`: an answer that is seconds old will do. Some platforms give those cheaply; others
-    may answer as to any read.
+    `stale_ok`: the result may be several seconds old. Some platforms serve stale reads at a
+    lower cost; a store may ignore the flag.
     """
 
     calls: int
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Closes the connections."""
 
     async def get(
         self, kind: str, name: str, *, stale_ok: bool = False
@@ -96,10 +96,10 @@
     async def put(
         self, kind: str, name: str, value: object, expected: int
     ) -> Result[StoredObject, WriteError]:
-        """Write an object that stands at version `expected` (0: does not exist yet)."""
+        """Writes an object if its version is `expected` (0: it does not exist yet)."""
 
     async def delete(self, kind: str, name: str, expected: int) -> Result[None, WriteError]:
-        """Remove an object that stands at version `expected`."""
+        """Deletes an object if its version is `expected`."""
 
 
 async def follow(
@@ -112,16 +112,17 @@
     backoff_last: float = BACKOFF_LAST,
     since: int | None = None,
 ) -> AsyncIterator[Listing]:
-    """Every state of a kind from now on without a gap: a full listing, then changes.
+    """Yields a full listing of a kind, then its changes without gaps.
 
-    When the platform does not keep the version any more it lists again. After each change it
-    rests for `pause` seconds, so that many changes come as one. With `since` the listing of
-    that version is known already, and what has changed since comes without a wait.
+    When the platform no longer keeps the version, the full listing is yielded again. After each
+    change it sleeps for `pause` seconds, so that the next listing combines several changes.
+    `since` is the version of a listing that the caller already has: the first listing has the
+    changes since then and is yielded without a wait.
     """
     backoff = Backoff(rng, last=backoff_last)
     version = since
-    # After a failure the next watch does not wait for changes: its answer shows at once that
-    # the platform is back.
+    # After a failure the next watch does not wait for changes, so that a recovery of the
+    # platform is detected at once.
     wait_now = wait if since is None else 0.0
     while True:
         if version is None:
--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -1,11 +1,12 @@
-"""Which backend server stands beside a daemon, by the server's own heartbeats.
+"""Registration of the backend server beside a daemon, from the server's heartbeats.
 
-Pure: it takes heartbeats, goodbyes and answers of the health endpoint, late and in any order,
-and decides whether the server may get new work. Each start of a server has an id of its own. A
-server that has reported that it leaves never gets new work again.
+Inputs are heartbeats, deregistrations and health endpoint responses, which may arrive late and
+in any order. They decide whether the server may get new requests. Each start of a server has
+its own id. A server that has reported that it is leaving never gets new requests again.
 
-A heartbeat with a new id may come from a server that has just replaced the present one, or late
-from one that crashed before it. The id in the health endpoint's answer decides.
+A heartbeat with a new id may be from a server that has just replaced the current one, or a late
+one from a server that crashed earlier. The id in the health endpoint's response decides. This
+module does no I/O.
 """
 
 from collections import OrderedDict
@@ -14,25 +15,24 @@
 
 import msgspec
 
-# Ids remembered so that their late heartbeats change nothing.
-MAX_RETIRED = 1000
-# Seconds between two heartbeats of a new id after which it is registered without an answer of
-# the health endpoint. It is less than the pause between two heartbeats of a server that lives,
-# and more than that between late ones of a dead server, which arrive together.
-CLAIM_SECONDS = 1.0
+MAX_RETIRED_IDS = 1000  # ids of former servers whose late heartbeats are ignored
+# Time between two heartbeats of a new id after which it is registered without a response of the
+# health endpoint. It must be less than the heartbeat interval of a running server, and more
+# than the interval between late heartbeats of a dead one, which arrive together.
+CLAIM_CONFIRM_SECONDS = 1.0
 
 
 class ServerState(StrEnum):
-    """What a backend server says of itself."""
+    """State that a backend server reports in its heartbeats."""
 
     READY = "ready"
-    LEAVING = "draining"  # takes no new work and ends
+    LEAVING = "draining"  # accepts no new requests and is about to stop
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """One heartbeat. `sequence` rises with each one of the same server.
+    """A heartbeat. `sequence` increases with each heartbeat of the same server.
 
-    `warm_in` is the time in seconds that the server stays slow after its start.
+    `warm_in` is the time in seconds until the server has warmed up after its start.
     """
 
     pool: str
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Registered:
-    """The backend server that stands beside the daemon now.
+    """The backend server that is registered with the daemon.
 
-    `slots` is its concurrency. `warm_at` is when it will be warm, in seconds, monotonic; None:
-    it has not reported that.
+    `slots` is its concurrency. `warm_at` is the monotonic time in seconds at which it will have
+    warmed up; None if it has not reported one.
     """
 
     server: str
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Claim:
-    """The first heartbeat of a new id while another was registered, which came at `since`."""
+    """The first heartbeat of a new id, received at `since` while another id was registered."""
 
     server: str
-    beat: Heartbeat
+    heartbeat: Heartbeat
     since: float
 
 
@@ -79,26 +79,26 @@
 
     @property
     def is_disputed(self) -> bool:
-        """Whether two ids claim to be the server here: the health endpoint should be asked."""
+        """Whether two ids claim the registration, so that the health endpoint must decide."""
         return self._claim is not None
 
-    def on_heartbeat(self, server: str, beat: Heartbeat, now: float) -> bool:
-        """Take a heartbeat; whether `current` changed."""
-        if server in self._retired or not self._is_ours(beat):
+    def on_heartbeat(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
+        """Processes a heartbeat; returns whether `current` changed."""
+        if server in self._retired or not self._is_for_this_daemon(heartbeat):
             return False
         if self._is_current(server):
-            return self._update(beat, now)
+            return self._update_current(heartbeat, now)
         if self.current is not None:
-            if not self.current.leaving and beat.state is ServerState.LEAVING:
-                # Late, from a server that left before the present one came.
+            if not self.current.leaving and heartbeat.state is ServerState.LEAVING:
+                # A late heartbeat of a server that left before the current one started.
                 self._retire(server)
                 return False
-            if not self._confirms_claim(server, beat, now):
+            if not self._confirms_claim(server, heartbeat, now):
                 return False
-        return self._take_over(server, beat, now)
+        return self._take_over(server, heartbeat, now)
 
     def on_goodbye(self, server: str) -> bool:
-        """The server leaves for good; whether `current` changed."""
+        """The server deregisters and will not come back; returns whether `current` changed."""
         self._retire(server)
         if self._claim is not None and self._claim.server == server:
             self._claim = None
@@ -111,71 +111,70 @@
     def on_health(
         self, server: str, slots: int, *, well: bool, warm_at: float | None = None
     ) -> bool:
-        """The health endpoint answered as `server`; whether `current` changed.
+        """The health endpoint responded with id `server`; returns whether `current` changed.
 
-        `well` is whether its status was good, `warm_at` when the server will be warm, None if
-        the answer said nothing of it. The id always settles a dispute. Otherwise the answer
-        counts only until the first heartbeat, as it may call a server well that is not, and the
-        reverse.
+        `well` is whether its status was healthy, `warm_at` when the server will have warmed up
+        (None: not stated). The id always resolves a dispute. Otherwise the response is used
+        only until the first heartbeat, since its status may be wrong either way.
         """
         if self._claim is not None:
-            return self._settle(server)
+            return self._resolve_dispute(server)
         if self.current is not None or server in self._retired or not well:
             return False
         self.current = Registered(server, slots, warm_at=warm_at)
         return True
 
-    def _confirms_claim(self, server: str, beat: Heartbeat, now: float) -> bool:
-        """Note that a new id claims to be here; whether it has for `CLAIM_SECONDS`."""
+    def _confirms_claim(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
+        """Records a claim; returns whether it has lasted for `CLAIM_CONFIRM_SECONDS`."""
         if self._claim is None or self._claim.server != server:
-            self._claim = _Claim(server, beat, now)
+            self._claim = _Claim(server, heartbeat, now)
             return False
-        return now - self._claim.since >= CLAIM_SECONDS
+        return now - self._claim.since >= CLAIM_CONFIRM_SECONDS
 
-    def _settle(self, server: str) -> bool:
-        """`server` answered at the address, which ends a dispute; whether `current` changed."""
+    def _resolve_dispute(self, server: str) -> bool:
+        """Resolves a dispute in favour of `server`; returns whether `current` changed."""
         claim = self._claim
         assert claim is not None
         if claim.server == server:
-            return self._take_over(server, claim.beat, claim.since)
+            return self._take_over(server, claim.heartbeat, claim.since)
         self._claim = None
         self._retire(claim.server)
         return False
 
-    def _take_over(self, server: str, beat: Heartbeat, now: float) -> bool:
-        """A server that was not registered is the present one now."""
+    def _take_over(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
+        """Replaces the current server by one that was not registered."""
         if self.current is not None:
             self._retire(self.current.server)
         self._claim = None
-        self._sequence = beat.sequence
-        return self._set(server, beat, now)
+        self._sequence = heartbeat.sequence
+        return self._set_current(server, heartbeat, now)
 
-    def _is_ours(self, beat: Heartbeat) -> bool:
-        return beat.pool == self.pool and beat.address == self.address
+    def _is_for_this_daemon(self, heartbeat: Heartbeat) -> bool:
+        return heartbeat.pool == self.pool and heartbeat.address == self.address
 
     def _is_current(self, server: str) -> bool:
         return self.current is not None and self.current.server == server
 
-    def _update(self, beat: Heartbeat, now: float) -> bool:
+    def _update_current(self, heartbeat: Heartbeat, now: float) -> bool:
         assert self.current is not None
-        if beat.sequence <= self._sequence:
+        if heartbeat.sequence <= self._sequence:
             return False
-        self._sequence = beat.sequence
-        return self._set(self.current.server, beat, now)
-
-    def _set(self, server: str, beat: Heartbeat, now: float) -> bool:
-        before = self.current
-        leaving = beat.state is ServerState.LEAVING
-        if before is not None and before.server == server:
-            leaving = leaving or before.leaving
-        self.current = Registered(server, beat.slots, leaving, now + beat.warm_in)
-        return before is None or (before.server, before.slots, before.leaving) != (
+        self._sequence = heartbeat.sequence
+        return self._set_current(self.current.server, heartbeat, now)
+
+    def _set_current(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
+        previous = self.current
+        leaving = heartbeat.state is ServerState.LEAVING
+        if previous is not None and previous.server == server:
+            leaving = leaving or previous.leaving
+        self.current = Registered(server, heartbeat.slots, leaving, now + heartbeat.warm_in)
+        return previous is None or (previous.server, previous.slots, previous.leaving) != (
             server,
-            beat.slots,
+            heartbeat.slots,
             leaving,
         )
 
     def _retire(self, server: str) -> None:
         self._retired[server] = None
-        while len(self._retired) > MAX_RETIRED:
+        while len(self._retired) > MAX_RETIRED_IDS:
             self._retired.popitem(last=False)
--- a/test/test_registration.py
+++ b/test/test_registration.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from wheatslip.store.registration import (
-    CLAIM_SECONDS,
-    MAX_RETIRED,
+    CLAIM_CONFIRM_SECONDS,
+    MAX_RETIRED_IDS,
     Heartbeat,
     Registration,
     ServerState,
@@ -98,7 +98,7 @@
     one = registration()
     one.on_heartbeat("a", beat(5), 0.0)
     assert not one.on_heartbeat("b", beat(1), 1.0)
-    assert one.on_heartbeat("b", beat(2), 1.0 + CLAIM_SECONDS)
+    assert one.on_heartbeat("b", beat(2), 1.0 + CLAIM_CONFIRM_SECONDS)
     assert one.current.server == "b" and not one.is_disputed
     assert not one.on_heartbeat("a", beat(6), 3.0)
 
@@ -114,9 +114,9 @@
 
 def test_ids_of_the_past_are_bounded():
     one = registration()
-    for number in range(MAX_RETIRED + 50):
+    for number in range(MAX_RETIRED_IDS + 50):
         one.on_goodbye(str(number))
-    assert len(one._retired) == MAX_RETIRED
+    assert len(one._retired) == MAX_RETIRED_IDS
 
 
 WORDS = st.lists(
