--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -255,4 +255,4 @@
     }
     for upstream in (slow, full, busy):
         chooser.on_report(upstream, reports[upstream.name], 0.0)
-    assert chooser.soonest([slow, full, busy], 0.0, target=0.3) is busy
+    assert chooser.pick_shortest_wait([slow, full, busy], 0.0, target=0.3) is busy
