--- a/demo/demo.py
+++ b/demo/demo.py
@@ -16,8 +16,8 @@
 from hdrh.histogram import HdrHistogram
 from rich.console import Console
 from rich.table import Table
-from wheatslip.ledger import CLOCK_SKEW
-from wheatslip.owners import LIST_SKEW, OWNER_LEASE
+from wheatslip.ledger import CALLER_CLOCK_SKEW_SECONDS
+from wheatslip.owners import DAEMON_CLOCK_SKEW_SECONDS, OWNER_LEASE_SECONDS
 from wheatslip.store.instances import InstanceState
 
 from demo.deployments import (
@@ -153,7 +153,9 @@
         await cluster.wait_for_members(len(cluster.members))
         print(f"ready after {time.monotonic() - started:.1f} s", flush=True)
         # Owners of keys take over only when the leases of former owners have run out.
-        await asyncio.sleep(OWNER_LEASE + LIST_SKEW + CLOCK_SKEW)
+        await asyncio.sleep(
+            OWNER_LEASE_SECONDS + DAEMON_CLOCK_SKEW_SECONDS + CALLER_CLOCK_SKEW_SECONDS
+        )
         print("traffic starts", flush=True)
         callers = make_callers(cluster)
         end = time.monotonic() + TRAFFIC_SECONDS
--- a/packages/wheatslip/wheatslip/__init__.py
+++ b/packages/wheatslip/wheatslip/__init__.py
@@ -1,10 +1,10 @@
-"""Coordination parts of the wheatslip load balancer, to embed with or without its daemon.
+"""Library of the wheatslip load balancer, for its daemon and for embedding.
 
-The modules at this level decide about requests: where one goes, whether it waits, whether it
-is tried again. They are pure: no clock, no I/O, no global randomness.
+The modules at this level route, queue and retry requests. They use no clock, no I/O and no
+global random generator.
 
-- `config`: the operators' configuration, checked, signed and rolled out
-- `distribution`: how configuration reaches every daemon
+- `config`: validation, signing and rollout of the operators' configuration
+- `distribution`: distribution of configuration to the daemons
 - `store`: the platform's object API
 """
 
--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -133,7 +133,7 @@
         """
         cost = self._service_time(upstream, reference_service, now)
         cost *= 1.0 + _relative_wait(self._utilization(upstream, now))
-        if not upstream.healthy and upstream.vouched_until < now:
+        if not upstream.healthy and upstream.healthy_until < now:
             cost *= UNHEALTHY_FACTOR
         if upstream.zone != self.zone:
             cost += self.settings.far_penalty
--- a/packages/wheatslip/wheatslip/hop.py
+++ b/packages/wheatslip/wheatslip/hop.py
@@ -1,8 +1,7 @@
-"""What daemons send each other on a forwarded request and on its answer.
+"""Headers that daemons add to a forwarded request and to its answer.
 
-Messages travel as arrays in header values, since bytes between zones cost more than field names
-are worth. Durations are in seconds and count from now, so that the clocks of two daemons need
-not agree.
+Messages are sent in header values, as JSON arrays without field names to save bytes between
+zones. Times are sent as remaining seconds, so that the clocks of two daemons need not agree.
 """
 
 from typing import TypeVar
@@ -14,17 +13,15 @@
 HOP_HEADER = b"wheatslip-hop"
 OUTCOME_HEADER = b"wheatslip-outcome"
 LOAD_HEADER = b"wheatslip-load"
-# Beside a hop whose body follows later: the request's fingerprint, made of the body's
-# beginning.
+# Sent with a hop whose body follows later: the fingerprint, from the beginning of the body.
 FINGERPRINT_HEADER = b"wheatslip-fingerprint"
-# Beside a hop: a server ended under an earlier try of the request, so this one may end another.
+# Sent with a hop if a server ended during an earlier try: the request may end another one.
 SUSPECT_HEADER = b"wheatslip-suspect"
-# Bytes of a header value; above what a daemon sends, so that a longer one is not parsed.
-MAX_HOP_BYTES = 2048
+MAX_HEADER_VALUE_BYTES = 2048  # more than a daemon sends; longer values are not parsed
 
 
 class Hop(msgspec.Struct, frozen=True, array_like=True):
-    """What an entry sends in front of a forwarded request."""
+    """Data that an entry sends with a forwarded request. Times are remaining seconds."""
 
     workspace: str
     service: str
@@ -32,27 +29,25 @@
     repeatable: bool
     remaining: float  # until the call's deadline
     version: int  # of the bundle in force at the entry
-    entry: str  # name of the daemon that sends it
+    entry: str  # name of the sending daemon
     urgent: bool = False
     key: str = ""
-    depth: int = 0  # calls that led to this one, each made while serving the one before
-    # A request that would wait longer is refused, as the entry has others to try; None: any
-    # wait will do.
-    max_wait: float | None = None
-    target: float | None = None  # until the call's `target`; None: it has none
-    hold: float | None = None  # until the call's `hold_until`; None: it has none
+    depth: int = 0  # number of calls that led to this one, each made while serving the previous
+    max_wait: float | None = None  # the gate refuses the request if it would wait longer
+    target: float | None = None  # until the call's `target`
+    hold: float | None = None  # until the call's `hold_until`
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """The load at the gate of a backend server, sent back on every answer."""
+    """The load at the gate of a backend server, sent with every answer."""
 
-    in_flight: int  # requests that run
-    queued: int  # requests that wait
-    limit: int  # the concurrency limit
-    service: float  # recent mean service time, seconds
-    version: int  # of the bundle in force there
-    leaving: bool = False  # whether the server is
-    slowness: float = 1.0  # ratio of the present service time to that mean
+    in_flight: int
+    queued: int
+    limit: int  # concurrency limit
+    service: float  # recent mean service time, in seconds
+    version: int  # of the bundle in force at the gate
+    leaving: bool = False
+    slowness: float = 1.0  # ratio of the current service time to the mean
 
 
 _Message = TypeVar("_Message", Hop, LoadReport)
@@ -63,22 +58,22 @@
 
 
 def encode(message: Hop | LoadReport) -> bytes:
-    """The header value of a message."""
+    """Encodes a message as a header value."""
     return _encoder.encode(message)
 
 
 def decode_hop(value: bytes) -> Hop | None:
-    """A hop from a header value, None if it is not one."""
+    """Decodes a header value; None if it is invalid."""
     return _decode(_hop_decoder, value)
 
 
 def decode_load(value: bytes) -> LoadReport | None:
-    """A load report from a header value, None if it is not one."""
+    """Decodes a header value; None if it is invalid."""
     return _decode(_load_decoder, value)
 
 
 def _decode(decoder: msgspec.json.Decoder[_Message], value: bytes) -> _Message | None:
-    if len(value) > MAX_HOP_BYTES:
+    if len(value) > MAX_HEADER_VALUE_BYTES:
         return None
     try:
         return decoder.decode(value)
@@ -97,9 +92,10 @@
 
 
 def decode_refusal(value: bytes, retry_after: float | None = None) -> NotRun | Unknown | None:
-    """The refusal in an outcome header's value, with its time in seconds; None for `answered`.
+    """Decodes an outcome header; None for `answered`. `retry_after` is in seconds.
 
-    What can't be read counts as unknown: it must not pass for the promise that nothing ran.
+    An invalid value is decoded as unknown: it must not be taken as a guarantee that the request
+    did not run.
     """
     if value == b"answered":
         return None
--- a/packages/wheatslip/wheatslip/ledger.py
+++ b/packages/wheatslip/wheatslip/ledger.py
@@ -1,9 +1,8 @@
-"""At most once: the records of request keys that one daemon owns.
+"""At-most-once execution: records of the request keys that a daemon owns.
 
-Keys are UUIDs of version 7, which hold the time at which they were made. A daemon keeps its
-records in memory only. For a key made before it began to keep records, or before the oldest
-record that it still has, it doesn't know whether the request ran; it answers so, and does not
-run it.
+Keys are UUIDs of version 7, which contain their creation time. A daemon keeps its records in
+memory only. If a key is older than the daemon's oldest record, or than the start of the daemon,
+it cannot know whether the request ran; it does not run it and reports the outcome as unknown.
 """
 
 from collections import OrderedDict
@@ -11,62 +10,60 @@
 from enum import Enum
 from uuid import UUID
 
-# Seconds that a record is kept, and records at most. With fewer, a key that is sent again late
-# gets "unknown" instead of its first answer; more take memory.
-KEPT_SECONDS = 600.0
+# A key that is sent again after its record was dropped gets "unknown" instead of the answer.
+RECORD_SECONDS = 600.0
 MAX_RECORDS = 50_000
-# Bytes of one answer that is kept for a re-send, and of all of them; a larger one is not kept,
-# so its re-send gets "unknown".
-MAX_KEPT_ANSWER = 16 * 1024
-MAX_KEPT_ANSWERS = 16 * 1024 * 1024
-# Seconds by which a caller's clock may differ from ours. Below the real difference a key that
-# is sent again could run twice; above it, more keys made around a start are not run. Assumed.
-CLOCK_SKEW = 2.0
+# Limits for the answers kept for re-sends. A re-send whose answer is not kept gets "unknown".
+MAX_ANSWER_BYTES = 16 * 1024
+MAX_TOTAL_ANSWER_BYTES = 16 * 1024 * 1024
+# Largest assumed difference between the clocks of a caller and of the daemon. If the real
+# difference is larger, a key that is sent again may run twice.
+CALLER_CLOCK_SKEW_SECONDS = 2.0
 UUID7_VERSION = 7  # RFC 9562
 UUID7_TIME_SHIFT = 80  # bits below the time in milliseconds
 
 
 class KeyState(Enum):
-    """What a claim found."""
+    """State of a key when it is claimed."""
 
-    FRESH = "fresh"  # the claimer runs the request now
+    FRESH = "fresh"  # not seen before: the claimant must run the request
     RUNNING = "running"
     DONE = "done"
-    TOO_OLD = "too-old"  # it may have run before our records begin
+    TOO_OLD = "too-old"  # may have run before the records begin
     FROM_THE_FUTURE = "from-the-future"
 
 
 @dataclass(slots=True)
 class KeptAnswer:
-    """The first run's answer, for a re-send. `headers` in wire order."""
+    """The answer of the first run, kept for re-sends. `headers` are in wire order."""
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     body: bytes = b""
 
     def add(self, chunk: bytes) -> None:
-        """Add a part of the body; what goes on beyond the limit is not kept."""
-        if len(self.body) <= MAX_KEPT_ANSWER:
+        """Appends a part of the body, until the body exceeds `MAX_ANSWER_BYTES`."""
+        if len(self.body) <= MAX_ANSWER_BYTES:
             self.body += chunk
 
 
 @dataclass(slots=True)
 class _Record:
-    noted: float
+    claimed_at: float
     done: bool = False
     answer: KeptAnswer | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The result of a claim; `answer` is there if a kept one can be given again."""
+    """The result of a claim. `answer` is set if the answer of the first run is kept."""
 
     state: KeyState
     answer: KeptAnswer | None = None
 
 
 def key_time(key: str) -> float | None:
-    """Unix seconds at which a version 7 UUID was made; None if it is not one."""
+    """Creation time of a version 7 UUID in unix seconds; None if `key` is not one."""
     try:
         parsed = UUID(key)
     except ValueError:
@@ -77,7 +74,7 @@
 
 
 class KeyLedger:
-    """Records of the keys that this daemon watches. Times are unix seconds."""
+    """The records of one daemon. Times are in unix seconds."""
 
     def __init__(self, watching_since: float, max_records: int = MAX_RECORDS):
         self._complete_since = watching_since
@@ -89,58 +86,62 @@
         return len(self._records)
 
     def claim(self, workspace: str, key: str, owned_since: float, now: float) -> Claim:
-        """Ask to run the request of `key`, which is ours since `owned_since`.
+        """Claims the right to run the request of `key`, which this daemon owns since
+        `owned_since`.
 
-        Only `FRESH` allows to run it; it must be followed by `done` or `not_run`.
+        The request may run only if the state is `FRESH`. The caller must then call `done` or
+        `not_run`.
         """
-        made = key_time(key)
-        assert made is not None, "keys are checked at the entry"
-        self._expire(now)
+        created_at = key_time(key)
+        assert created_at is not None, "the entry must reject keys that are not version 7 UUIDs"
+        self._evict_expired(now)
         record = self._records.get(workspace + "/" + key)
         if record is not None:
             state = KeyState.DONE if record.done else KeyState.RUNNING
             return Claim(state, record.answer)
-        if made > now + CLOCK_SKEW:
+        if created_at > now + CALLER_CLOCK_SKEW_SECONDS:
             return Claim(KeyState.FROM_THE_FUTURE)
-        if made < max(self._complete_since, owned_since) + CLOCK_SKEW:
+        if created_at < max(self._complete_since, owned_since) + CALLER_CLOCK_SKEW_SECONDS:
             return Claim(KeyState.TOO_OLD)
         self._records[workspace + "/" + key] = _Record(now)
-        self._bound()
+        self._evict_excess()
         return Claim(KeyState.FRESH)
 
     def done(self, workspace: str, key: str, answer: KeptAnswer | None) -> None:
-        """The request ran, or may have; keep its answer if it is whole and small."""
+        """The request ran or may have run. `answer` is its complete answer, or None."""
         record = self._records.get(workspace + "/" + key)
         if record is None:
             return
         record.done = True
-        if answer is None or len(answer.body) > MAX_KEPT_ANSWER:
+        if answer is None or len(answer.body) > MAX_ANSWER_BYTES:
             return
-        if self._answer_bytes + len(answer.body) <= MAX_KEPT_ANSWERS:
+        if self._answer_bytes + len(answer.body) <= MAX_TOTAL_ANSWER_BYTES:
             record.answer = answer
             self._answer_bytes += len(answer.body)
 
     def not_run(self, workspace: str, key: str) -> None:
-        """The request surely did not run: a re-send may."""
+        """The request did not run, so a re-send may run."""
         self._records.pop(workspace + "/" + key, None)
 
-    def _expire(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         while self._records:
             key, record = next(iter(self._records.items()))
-            if record.noted > now - KEPT_SECONDS:
+            if record.claimed_at > now - RECORD_SECONDS:
                 return
-            self._forget(key, record)
+            self._evict(key, record)
 
-    def _bound(self) -> None:
+    def _evict_excess(self) -> None:
         while len(self._records) > self._max_records:
             key, record = next(iter(self._records.items()))
-            self._forget(key, record)
+            self._evict(key, record)
 
-    def _forget(self, key: str, record: _Record) -> None:
-        """Drop the oldest record. A key noted then was made at most CLOCK_SKEW later, so
-        from here on only keys made after that moment are surely unseen.
+    def _evict(self, key: str, record: _Record) -> None:
+        """Drops the oldest record. Its key was created at most `CALLER_CLOCK_SKEW_SECONDS`
+        after the claim, so only keys created later than that are then known not to have run.
         """
         del self._records[key]
-        self._complete_since = max(self._complete_since, record.noted + CLOCK_SKEW)
+        self._complete_since = max(
+            self._complete_since, record.claimed_at + CALLER_CLOCK_SKEW_SECONDS
+        )
         if record.answer is not None:
             self._answer_bytes -= len(record.answer.body)
--- a/packages/wheatslip/wheatslip/owners.py
+++ b/packages/wheatslip/wheatslip/owners.py
@@ -1,7 +1,7 @@
-"""Who owns a request key: rendezvous hashing over the members of a pool.
+"""Ownership of request keys, by rendezvous hashing over the members of a pool.
 
-The history of memberships says since when a daemon has owned a key without a gap, by what it
-has seen itself.
+From the membership history that a daemon has seen, it derives since when it has owned a key
+without interruption.
 """
 
 import hashlib
@@ -9,20 +9,19 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# Memberships remembered. With fewer, a key that has long been ours counts as taken over later
-# than it was, so that fewer old keys run; more take memory.
-KEPT_VIEWS = 256
-# Seconds that an owner acts after its list was last checked, and a new owner waits. Two quiet
-# watches of the platform, with room for the relays: shorter refuses keys while nothing is
-# wrong, longer lets keys of a lost owner wait.
-OWNER_LEASE = 10.0
-# Seconds by which the clocks of two daemons may differ. Below the real difference two owners
-# could act at one time; above it, a new owner waits longer. Assumed.
-LIST_SKEW = 2.0
+# Length of the membership history. When older memberships are evicted, a key may seem to be
+# owned for a shorter time than it is, so that fewer old keys run.
+MAX_MEMBERSHIPS = 256
+# Time for which an owner may act after its list was last checked, and which a new owner waits:
+# two watches without changes, with a margin for the relays.
+OWNER_LEASE_SECONDS = 10.0
+# Largest assumed difference between the clocks of two daemons. If the real difference is
+# larger, two owners may act at the same time.
+DAEMON_CLOCK_SKEW_SECONDS = 2.0
 
 
 def owner(key: str, members: Sequence[str]) -> str | None:
-    """The owner of `key`, None if there are no members."""
+    """The member that owns `key`; None if there are no members."""
     if not members:
         return None
     return max(members, key=lambda name: _weight(key, name))
@@ -33,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _View:
+class _Membership:
     since: float
     members: tuple[str, ...]
 
@@ -41,33 +40,39 @@
 class OwnerHistory:
     """The memberships of one pool that a daemon has seen, latest last.
 
-    An owner acts only for `OWNER_LEASE` after its list was last checked. A new owner takes a
-    key for its own only when the lease of any former one has run out.
+    An owner may act for `OWNER_LEASE_SECONDS` after its list was last checked. A new owner may
+    use a key only after the leases of all former owners have expired.
     """
 
     def __init__(self) -> None:
-        self._views: deque[_View] = deque(maxlen=KEPT_VIEWS)
+        self._memberships: deque[_Membership] = deque(maxlen=MAX_MEMBERSHIPS)
 
     def change(self, members: Sequence[str], now: float) -> None:
-        """The members are these from `now` on (unix seconds)."""
+        """Records the members from `now` on (unix seconds)."""
         ordered = tuple(sorted(members))
-        if not self._views or self._views[-1].members != ordered:
-            self._views.append(_View(now, ordered))
+        if not self._memberships or self._memberships[-1].members != ordered:
+            self._memberships.append(_Membership(now, ordered))
 
     def is_lease_held(self, checked: float, now: float) -> bool:
         """Whether an owner whose list was last checked at `checked` may act at `now`."""
-        return now - checked <= OWNER_LEASE
+        return now - checked <= OWNER_LEASE_SECONDS
 
     def safe_since(self, key: str, name: str) -> float | None:
-        """From when on keys are surely unseen by former owners; None if `name` owns it not."""
+        """Unix time such that no former owner can have run a key created later; None if `name`
+        does not own `key`.
+        """
         since = self.owned_since(key, name)
-        return None if since is None else since + OWNER_LEASE + LIST_SKEW
+        return (
+            None if since is None else since + OWNER_LEASE_SECONDS + DAEMON_CLOCK_SKEW_SECONDS
+        )
 
     def owned_since(self, key: str, name: str) -> float | None:
-        """Since when `name` owns `key` without a gap; None if it does not own it now."""
+        """Unix time since which `name` has owned `key` without interruption; None if it does
+        not own it now.
+        """
         since: float | None = None
-        for view in reversed(self._views):
-            if owner(key, view.members) != name:
+        for membership in reversed(self._memberships):
+            if owner(key, membership.members) != name:
                 break
-            since = view.since
+            since = membership.since
         return since
--- a/packages/wheatslip/wheatslip/quarantine.py
+++ b/packages/wheatslip/wheatslip/quarantine.py
@@ -1,20 +1,20 @@
-"""Which requests are kept from the backend servers, because servers end when they run them.
+"""Quarantine for requests that may end the backend servers that run them.
 
-Each end of a server is reported with all requests that ran on it, the cause and others alike.
-What tells them apart: a request that ends each server that begins to run it is never answered.
+When a server ends, all requests that ran on it are reported, the cause and the others. A
+request that ends every server that runs it is never answered; the others are, on a retry.
 
-| standing | when | what follows |
+| standing | condition | effect |
 | --- | --- | --- |
-| free | no end since its last answer here | nothing |
-| suspect | 1 or 2 ends since | a gate runs one suspect at a time, so the next end names one |
-| held | `HELD_AFTER` ends since | refused as not run, by entries and gates alike |
+| free | no end since its last answer here | none |
+| suspect | 1 or 2 ends since | a gate runs one suspect at a time, so an end has one suspect |
+| held | `HOLD_AFTER_ENDS` ends since | entries and gates refuse it as not run |
 
-An answer counts at the daemon that saw it: it needs no message, and those that have not seen
-one go on being careful. An operator's lift counts everywhere. Reports, and so a hold, end by
-age: an innocent request is served again, and one that still ends servers is held after as many
-more.
+An answer counts only at the daemon that saw it, so it needs no message; other daemons keep
+their records. An operator's lift counts at all daemons. Reports expire, and holds with them: a
+harmless request is then served again, and a harmful one is held again after `HOLD_AFTER_ENDS`
+more ends.
 
-Pure. Times are unix seconds, since reports pass from one daemon to another.
+This module does no I/O. Times are in unix seconds, since daemons exchange reports.
 """
 
 from collections import OrderedDict
@@ -24,25 +24,20 @@
 
 import msgspec
 
-SERVER_ENDS_KIND = "server-ends"  # of the platform's objects that keep reports
-# Ends of servers in a row without an answer, after which a request is held. With 2, one that
-# runs on a server that another request ends, and is tried again beside that request before its
-# gate knows of them, would be held; with 4, each request that ends servers ends one more.
-HELD_AFTER = 3
-# Seconds for which a report counts. A held request is refused for as long, and an innocent one
-# at the most; a request that ends servers ends three more in each such time.
-REPORT_SECONDS = 300.0
-# Requests of one end that are reported, the latest ones; a server with more slots has others
-# reported at its next end. Bounds a report to about 1.3 kB.
-MAX_REPORTED = 64
-# Requests remembered, about 300 bytes each. The ones with the fewest ends give way, of those
-# the oldest.
+SERVER_ENDS_KIND = "server-ends"  # kind of the platform objects that store reports
+# Number of consecutive ends without an answer after which a request is held. It must be above
+# 2: a harmless request can run beside the same harmful one twice before its gate is informed.
+HOLD_AFTER_ENDS = 3
+REPORT_SECONDS = 300.0  # time until a report expires, and so the longest hold without new ends
+MAX_REPORTED = 64  # requests reported for one end, the latest ones: about 1.3 kB
+# Requests with records, about 300 bytes each. The record with the fewest ends is evicted, the
+# oldest of these first.
 MAX_SUSPECTS = 2048
-MAX_LIFTS = 256  # lifts remembered, so that late reports of ends before them do not count
+MAX_LIFTS = 256  # remembered to ignore late reports of ends that happened before a lift
 
 
 class ServerEnd(msgspec.Struct, frozen=True, array_like=True, tag="end"):
-    """A backend server ended while it ran these requests. `id` is that of the end alone."""
+    """A backend server ended while it ran these requests. `id` is unique to the end."""
 
     id: str
     since: float
@@ -51,7 +46,7 @@
 
 
 class Lift(msgspec.Struct, frozen=True, array_like=True, tag="lift"):
-    """An operator has found a request innocent, or mended what it ended."""
+    """An operator releases a request, because it is harmless or the servers were fixed."""
 
     id: str
     since: float
@@ -62,7 +57,7 @@
 
 
 class Standing(StrEnum):
-    """How a request may run."""
+    """Whether and how a request may run."""
 
     FREE = "free"
     SUSPECT = "suspect"
@@ -70,8 +65,8 @@
 
 
 @dataclass(slots=True)
-class Suspicion:
-    """What is held against one request: when servers ended under it, the latest last."""
+class SuspectRecord:
+    """The times at which servers ended while they ran one request, latest last."""
 
     fingerprint: str
     service: str
@@ -79,102 +74,99 @@
 
 
 class Quarantine:
-    """What one daemon holds against requests, by their fingerprints."""
+    """The suspect records of one daemon, by fingerprint."""
 
     def __init__(self) -> None:
-        self._suspicions: OrderedDict[str, Suspicion] = OrderedDict()
+        self._records: OrderedDict[str, SuspectRecord] = OrderedDict()
         self._lifts: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many requests something is held against; 0 spares the look at each request."""
-        return len(self._suspicions)
+        """Number of requests with records; if it is 0, callers can skip the lookup."""
+        return len(self._records)
 
     def take(self, report: EndReport, now: float) -> tuple[str, ...]:
-        """Take a report that is new here; returns the fingerprints that are newly held."""
+        """Adds a report that is new here; returns the fingerprints that become held by it."""
         match report:
             case ServerEnd():
-                return self._take_end(report, now)
+                return self._add_end(report, now)
             case Lift():
-                self._lift(report)
+                self._apply_lift(report)
                 return ()
 
     def answered(self, fingerprint: str) -> None:
-        """A server here has answered the request without failing."""
-        self._suspicions.pop(fingerprint, None)
+        """A server here answered the request without failing."""
+        self._records.pop(fingerprint, None)
 
     def standing(self, fingerprint: str, now: float) -> Standing:
-        """How the request may run now."""
-        suspicion = self._suspicions.get(fingerprint)
-        if suspicion is None:
+        record = self._records.get(fingerprint)
+        if record is None:
             return Standing.FREE
-        if not self._keep_valid(suspicion, now):
-            del self._suspicions[fingerprint]
+        if not self._drop_expired(record, now):
+            del self._records[fingerprint]
             return Standing.FREE
-        return Standing.HELD if len(suspicion.ends) >= HELD_AFTER else Standing.SUSPECT
+        return Standing.HELD if len(record.ends) >= HOLD_AFTER_ENDS else Standing.SUSPECT
 
     def held_for(self, fingerprint: str, now: float) -> float:
-        """Seconds until the request is not held any more, if no server ends; 0: it is not."""
+        """Seconds until the hold expires if there are no new ends; 0 if it is not held."""
         if self.standing(fingerprint, now) is not Standing.HELD:
             return 0.0
-        decisive = self._suspicions[fingerprint].ends[-HELD_AFTER]
-        return decisive + REPORT_SECONDS - now
+        oldest = self._records[fingerprint].ends[-HOLD_AFTER_ENDS]
+        return oldest + REPORT_SECONDS - now
 
-    def held(self, now: float) -> list[Suspicion]:
-        """The requests that are held now."""
-        known = list(self._suspicions)
-        held = [name for name in known if self.standing(name, now) is Standing.HELD]
-        return [self._suspicions[name] for name in held]
+    def held(self, now: float) -> list[SuspectRecord]:
+        fingerprints = list(self._records)
+        held = [name for name in fingerprints if self.standing(name, now) is Standing.HELD]
+        return [self._records[name] for name in held]
 
-    def _take_end(self, end: ServerEnd, now: float) -> tuple[str, ...]:
+    def _add_end(self, end: ServerEnd, now: float) -> tuple[str, ...]:
         if not is_valid(end, now):
             return ()
-        # By a clock that is ahead of ours, an end would count for longer than it should.
+        # If the reporter's clock is ahead, the report would expire too late.
         end = msgspec.structs.replace(end, since=min(end.since, now))
         newly_held = []
         for fingerprint in end.fingerprints:
             if end.since <= self._lifts.get(fingerprint, 0.0):
                 continue
             before = self.standing(fingerprint, now)
-            self._note(fingerprint, end)
+            self._record_end(fingerprint, end)
             after = self.standing(fingerprint, now)
             if before is not after and after is Standing.HELD:
                 newly_held.append(fingerprint)
         return tuple(newly_held)
 
-    def _note(self, fingerprint: str, end: ServerEnd) -> None:
-        suspicion = self._suspicions.pop(fingerprint, None)
-        if suspicion is None:
-            self._make_room()
-            suspicion = Suspicion(fingerprint, end.service)
-        suspicion.ends.append(end.since)
-        suspicion.ends.sort()
-        del suspicion.ends[:-HELD_AFTER]
-        self._suspicions[fingerprint] = suspicion
-
-    def _make_room(self) -> None:
-        if len(self._suspicions) >= MAX_SUSPECTS:
-            # `min` takes the first of equals, which is the oldest.
-            least = min(self._suspicions.values(), key=lambda suspicion: len(suspicion.ends))
-            del self._suspicions[least.fingerprint]
-
-    def _lift(self, lift: Lift) -> None:
-        self._suspicions.pop(lift.fingerprint, None)
+    def _record_end(self, fingerprint: str, end: ServerEnd) -> None:
+        record = self._records.pop(fingerprint, None)
+        if record is None:
+            self._evict_if_full()
+            record = SuspectRecord(fingerprint, end.service)
+        record.ends.append(end.since)
+        record.ends.sort()
+        del record.ends[:-HOLD_AFTER_ENDS]
+        self._records[fingerprint] = record
+
+    def _evict_if_full(self) -> None:
+        if len(self._records) >= MAX_SUSPECTS:
+            # `min` returns the first of equal records, which is the oldest.
+            evicted = min(self._records.values(), key=lambda record: len(record.ends))
+            del self._records[evicted.fingerprint]
+
+    def _apply_lift(self, lift: Lift) -> None:
+        self._records.pop(lift.fingerprint, None)
         self._lifts[lift.fingerprint] = lift.since
         if len(self._lifts) > MAX_LIFTS:
             self._lifts.popitem(last=False)
 
     @staticmethod
-    def _keep_valid(suspicion: Suspicion, now: float) -> bool:
-        """Drop the ends that are too old; whether any is left."""
-        suspicion.ends = [since for since in suspicion.ends if since > now - REPORT_SECONDS]
-        return bool(suspicion.ends)
+    def _drop_expired(record: SuspectRecord, now: float) -> bool:
+        """Drops expired ends; returns whether any are left."""
+        record.ends = [since for since in record.ends if since > now - REPORT_SECONDS]
+        return bool(record.ends)
 
 
 def is_valid(report: EndReport, now: float) -> bool:
-    """Whether a report is young enough to count."""
+    """Whether a report has not expired."""
     return report.since > now - REPORT_SECONDS
 
 
 def unexpired(reports: Iterable[EndReport], now: float) -> tuple[EndReport, ...]:
-    """The reports that still count."""
     return tuple(report for report in reports if is_valid(report, now))
--- a/packages/wheatslip/wheatslip/upstream.py
+++ b/packages/wheatslip/wheatslip/upstream.py
@@ -1,6 +1,6 @@
-"""What one entry knows of one backend server, from its own tries and the reports on answers.
+"""State of one backend server as seen by one entry, from its own tries and load reports.
 
-Pure; seconds on one monotonic clock.
+Does no I/O. Times are in seconds on one monotonic clock.
 """
 
 from dataclasses import dataclass
@@ -9,63 +9,59 @@
 
 from wheatslip.hop import LoadReport
 
-# Seconds that an upstream is left alone after its first failure, twice as many after each
-# further one, and at most. Shorter, requests go on meeting a lost server; longer, a server
-# that is back stays idle.
-FAILURE_FIRST_PAUSE = 0.2
-FAILURE_LAST_PAUSE = 5.0
-# An upstream whose machine must be gone: no connection for so many seconds, which are longer
-# than a restart or a short cut, and so many failures, as time alone shows nothing where nobody
-# tried.
-DEAD_AFTER = 15.0
+# Pause after the first failure, which doubles with each consecutive failure up to the maximum.
+FIRST_PAUSE_SECONDS = 0.2
+MAX_PAUSE_SECONDS = 5.0
+# The machine of an upstream counts as lost after this time without a connection, longer than a
+# restart or a short network failure, and this number of failures. Time alone is no sign if
+# there were no tries.
+DEAD_AFTER_SECONDS = 15.0
 DEAD_AFTER_FAILURES = 4
-# Weight of one answer in the error rate of an upstream.
-ERROR_WEIGHT = 0.3
-# Seconds in which an error rate falls to 1/e.
-ERROR_MEMORY = 1.0
-# Seconds for which a good answer outweighs the list. Without it a list that is wrong about many
-# servers crowds the others.
-VOUCHED_SECONDS = 5.0
+ERROR_WEIGHT = 0.3  # of one answer in the error rate of an upstream
+ERROR_DECAY_SECONDS = 1.0  # time in which an error rate decays to 1/e
+# Time for which a good answer overrides the list's health. Without it, a list that is wrong
+# about many servers would overload the others.
+ANSWER_VALID_SECONDS = 5.0
 
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """What one entry knows of one backend server. Times are seconds, monotonic."""
+    """One backend server as seen by one entry. Times are in monotonic seconds."""
 
     name: str
     zone: str
-    joined: float = 0.0  # when it was first seen; 0 for one that was here before us
-    healthy: bool = True  # by the platform's list, which lags
+    joined: float = 0.0  # when it was first seen; 0 if it was listed when this entry started
+    healthy: bool = True  # according to the platform's list, which may be out of date
     in_flight: int = 0
     report: LoadReport | None = None
     reported_at: float = 0.0
     sent_since_report: int = 0
     done_since_report: int = 0
-    failures: int = 0  # in a row
+    failures: int = 0  # consecutive
     paused_until: float = 0.0
-    errors: float = 0.0  # the part of answers that failed, as of `errors_at`
-    errors_at: float = 0.0
-    vouched_until: float = 0.0  # until then a good answer outweighs the list
-    unreachable_since: float | None = None  # when its daemon stopped taking connections
-    listed_leaving: bool = False  # a report can't take that back
+    last_error_rate: float = 0.0  # share of answers that failed, as of `error_rate_at`
+    error_rate_at: float = 0.0
+    healthy_until: float = 0.0  # until then a good answer overrides `healthy`
+    unreachable_since: float | None = None  # when its daemon stopped accepting connections
+    listed_leaving: bool = False  # not overridden by load reports
 
     @property
     def leaving(self) -> bool:
-        """Whether it takes no new work."""
+        """Whether it accepts no new requests."""
         return self.listed_leaving or (self.report is not None and self.report.leaving)
 
     def on_sent(self) -> None:
-        """A request goes there."""
+        """A request is sent to it."""
         self.in_flight += 1
         self.sent_since_report += 1
 
     def on_done(self) -> None:
-        """A request sent there has ended, in whatever way."""
+        """A request sent to it has ended, with any outcome."""
         self.in_flight -= 1
         self.done_since_report += 1
 
     def on_report(self, report: LoadReport, now: float) -> None:
-        """A load report came with an answer."""
+        """An answer had a load report."""
         self.unreachable_since = None
         self.report = report
         self.reported_at = now
@@ -73,33 +69,35 @@
         self.done_since_report = 0
 
     def on_answer(self, now: float, *, failed: bool) -> None:
-        """It answered; `failed`: with an error of its own."""
+        """It answered. `failed` is whether with an error of the server."""
         self.failures = 0
         self.paused_until = 0.0
-        self.errors = self.error_rate(now)
-        self.errors += ERROR_WEIGHT * (failed - self.errors)
-        self.errors_at = now
+        self.last_error_rate = self.error_rate(now)
+        self.last_error_rate += ERROR_WEIGHT * (failed - self.last_error_rate)
+        self.error_rate_at = now
         if not failed:
-            self.vouched_until = now + VOUCHED_SECONDS
+            self.healthy_until = now + ANSWER_VALID_SECONDS
 
     def error_rate(self, now: float) -> float:
-        """The part of recent answers that failed; it fades, so that it is tried again."""
-        return self.errors * exp(-(now - self.errors_at) / ERROR_MEMORY)
+        """Share of recent answers that failed. It decays, so that the upstream is retried."""
+        return self.last_error_rate * exp(-(now - self.error_rate_at) / ERROR_DECAY_SECONDS)
 
     def on_unreachable(self, now: float, rng: Random) -> None:
-        """Its daemon took no connection: a failure, and perhaps its machine is gone."""
+        """Its daemon accepted no connection: a failure, and its machine may be lost."""
         if self.unreachable_since is None:
             self.unreachable_since = now
         self.on_failure(now, rng)
 
     def is_dead(self, now: float) -> bool:
-        """Whether its machine must be gone: no try connected, for long and several times."""
+        """Whether its machine counts as lost: no try has connected for long enough, and there
+        were enough tries.
+        """
         since = self.unreachable_since
         tried = self.failures >= DEAD_AFTER_FAILURES
-        return since is not None and tried and now - since >= DEAD_AFTER
+        return since is not None and tried and now - since >= DEAD_AFTER_SECONDS
 
     def on_failure(self, now: float, rng: Random) -> None:
-        """It failed or could not be reached: leave it alone, longer after each in a row."""
+        """It failed or could not be reached; starts a pause with exponential backoff."""
         self.failures += 1
-        pause = min(FAILURE_LAST_PAUSE, FAILURE_FIRST_PAUSE * 2 ** (self.failures - 1))
+        pause = min(MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2 ** (self.failures - 1))
         self.paused_until = now + pause * (0.5 + rng.random())
--- a/soak/history.py
+++ b/soak/history.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wheatslip.quarantine import HELD_AFTER
+from wheatslip.quarantine import HOLD_AFTER_ENDS
 
 from standins.backend import Run
 from standins.caller import Request
@@ -103,13 +103,15 @@
 
 def _sent_on_after_ends(history: History) -> list[str]:
     """A request under which three servers have ended must be known everywhere soon after."""
-    if len(history.ends) < HELD_AFTER:
+    if len(history.ends) < HOLD_AFTER_ENDS:
         return []
-    third = sorted(history.ends)[HELD_AFTER - 1]
+    third = sorted(history.ends)[HOLD_AFTER_ENDS - 1]
     later = [at for at in history.fatal_runs if at > third + KNOWN_SECONDS]
     if len(later) <= ALLOWED_LATER:
         return []
-    return [f"ran {len(later)} times more after {HELD_AFTER} servers had ended, at {later}"]
+    return [
+        f"ran {len(later)} times more after {HOLD_AFTER_ENDS} servers had ended, at {later}"
+    ]
 
 
 def _runs_in_drained_zones(history: History) -> list[str]:
--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -5,7 +5,7 @@
 
 import pytest
 from grpclib.server import Server
-from wheatslip.quarantine import HELD_AFTER, ServerEnd
+from wheatslip.quarantine import HOLD_AFTER_ENDS, ServerEnd
 from wheatslip.store.instances import Instance
 from wheatslipd.feed.codec import StructCodec
 from wheatslipd.feed.relay import EndReports, report_ends
@@ -52,7 +52,7 @@
     async with asyncio.timeout(20):
         while (await one.ask("a", FATAL))[2].get("wheatslip-outcome") != HELD_OUTCOME:
             await asyncio.sleep(0.02)
-    assert endings.count >= HELD_AFTER
+    assert endings.count >= HOLD_AFTER_ENDS
 
 
 HELD_OUTCOME = "not-run; ends-servers"
@@ -121,7 +121,7 @@
 
             async def stored():
                 kept = [kind for kind, _ in one.store.objects if kind == ENDS]
-                return len(kept) >= min(HELD_AFTER, endings.count)
+                return len(kept) >= min(HOLD_AFTER_ENDS, endings.count)
 
             await eventually(stored)
             await one.stop_all()
@@ -217,8 +217,8 @@
             suspects = {
                 (name, standing)
                 for name, daemon in one.daemons.items()
-                for suspicion in daemon._shared.quarantine._suspicions.values()
-                if (standing := len(suspicion.ends)) >= HELD_AFTER
+                for record in daemon._shared.quarantine._records.values()
+                if (standing := len(record.ends)) >= HOLD_AFTER_ENDS
             }
             assert not suspects
 
@@ -253,7 +253,7 @@
             await asyncio.gather(*tasks)
             held = {path for path, outcome in outcomes if outcome == HELD_OUTCOME}
             assert held == {FATAL}
-            assert HELD_AFTER <= endings.count <= 2 * HELD_AFTER
+            assert HOLD_AFTER_ENDS <= endings.count <= 2 * HOLD_AFTER_ENDS
 
     run(scenario)
 
--- a/test/test_exposure.py
+++ b/test/test_exposure.py
@@ -1,6 +1,12 @@
 """Which requests count as running on a backend server that ends."""
 
-from wheatslip.exposure import ANSWER_SECONDS, LEFT_SECONDS, MAX_ANSWERS, Exposure, Run
+from wheatslip.exposure import (
+    ANSWER_VALID_SECONDS,
+    CALLER_LEFT_SECONDS,
+    MAX_ANSWERS,
+    Exposure,
+    Run,
+)
 from wheatslip.fingerprint import BODY_BYTES, request_fingerprint
 from wheatslipd.http.identity import fingerprint_of
 from wheatslipd.http.messages import RequestHead
@@ -68,7 +74,7 @@
     one = run_of("l")
     exposure.begin(one)
     exposure.left(one, 1.0)
-    assert exposure.server_ended(1.1 + LEFT_SECONDS).runs == 0
+    assert exposure.server_ended(1.1 + CALLER_LEFT_SECONDS).runs == 0
 
 
 def test_an_answer_speaks_for_a_request_once_and_for_a_time():
@@ -86,7 +92,7 @@
     exposure.begin(again)
     exposure.answered(again, 2.0)
     exposure.begin(run_of("a"))
-    assert suspects(exposure.server_ended(2.1 + ANSWER_SECONDS)) == ["a"]
+    assert suspects(exposure.server_ended(2.1 + ANSWER_VALID_SECONDS)) == ["a"]
 
 
 def test_the_memory_of_answers_and_of_callers_that_left_is_bounded():
--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -5,8 +5,8 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
-from wheatslip.ledger import KEPT_SECONDS, KeptAnswer, KeyLedger, KeyState, key_time
-from wheatslip.owners import LIST_SKEW, OWNER_LEASE, OwnerHistory, owner
+from wheatslip.ledger import RECORD_SECONDS, KeptAnswer, KeyLedger, KeyState, key_time
+from wheatslip.owners import DAEMON_CLOCK_SKEW_SECONDS, OWNER_LEASE_SECONDS, OwnerHistory, owner
 
 from standins.caller import make_key
 
@@ -40,7 +40,7 @@
         self.ran.add(key)
         self.ledger.done("w", key, KeptAnswer(200) if ends == "answered" else None)
 
-    @rule(seconds=st.sampled_from([0.01, 0.5, 3.0, KEPT_SECONDS]))
+    @rule(seconds=st.sampled_from([0.01, 0.5, 3.0, RECORD_SECONDS]))
     def wait(self, seconds):
         self.now += seconds
 
@@ -100,7 +100,7 @@
         history.change(["a", "b"], 100.0)
     heir.change(["b"], 200.0)
     # The frozen owner last saw the list just before it was unlisted, by a slow clock.
-    acts_until = 200.0 + LIST_SKEW + OWNER_LEASE
+    acts_until = 200.0 + DAEMON_CLOCK_SKEW_SECONDS + OWNER_LEASE_SECONDS
     assert not frozen.is_lease_held(checked=200.0, now=acts_until)
     assert heir.safe_since(key, "b") >= acts_until
     assert heir.safe_since(key, "a") is None
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -8,7 +8,7 @@
 from wheatslip.distribution.endlog import MAX_REPORTS, EndLog
 from wheatslip.outcome import NotRun, Reason
 from wheatslip.quarantine import (
-    HELD_AFTER,
+    HOLD_AFTER_ENDS,
     MAX_SUSPECTS,
     REPORT_SECONDS,
     Lift,
@@ -36,7 +36,7 @@
 
 def test_a_request_is_held_after_three_ends_and_suspect_before():
     standings = [with_ends(count).standing("f", NOW) for count in range(5)]
-    suspect = [Standing.SUSPECT] * (HELD_AFTER - 1)
+    suspect = [Standing.SUSPECT] * (HOLD_AFTER_ENDS - 1)
     assert standings == [Standing.FREE, *suspect, Standing.HELD, Standing.HELD]
     quarantine = Quarantine()
     newly_held = [quarantine.take(end(number, "f", "g"), NOW) for number in range(4)]
@@ -44,7 +44,7 @@
 
 
 def test_an_answer_clears_a_request_and_ends_after_it_count_anew():
-    quarantine = with_ends(HELD_AFTER - 1)
+    quarantine = with_ends(HOLD_AFTER_ENDS - 1)
     quarantine.answered("f")
     assert quarantine.standing("f", NOW) is Standing.FREE
     quarantine.take(end(9, "f"), NOW)
@@ -52,7 +52,7 @@
 
 
 def test_a_hold_ends_by_itself_and_one_more_end_does_not_renew_it():
-    quarantine = with_ends(HELD_AFTER)
+    quarantine = with_ends(HOLD_AFTER_ENDS)
     assert quarantine.held_for("f", NOW) == REPORT_SECONDS
     later = NOW + REPORT_SECONDS
     assert quarantine.held_for("f", later) == 0.0
@@ -63,7 +63,7 @@
 
 
 def test_a_lift_frees_a_request_and_late_reports_of_ends_before_it_do_not_count():
-    quarantine = with_ends(HELD_AFTER)
+    quarantine = with_ends(HOLD_AFTER_ENDS)
     quarantine.take(Lift("lift", NOW + 1, "f"), NOW + 1)
     assert quarantine.standing("f", NOW + 1) is Standing.FREE
     quarantine.take(end(8, "f"), NOW + 2)
@@ -74,7 +74,7 @@
 
 def test_an_end_by_a_clock_that_is_ahead_counts_no_longer_than_others():
     quarantine = Quarantine()
-    for number in range(HELD_AFTER):
+    for number in range(HOLD_AFTER_ENDS):
         quarantine.take(end(number, "f", since=NOW + 3600), NOW)
     assert quarantine.held_for("f", NOW) == REPORT_SECONDS
 
@@ -86,7 +86,7 @@
 
 
 def test_the_memory_is_bounded_and_held_requests_stay_longest():
-    quarantine = with_ends(HELD_AFTER, "held")
+    quarantine = with_ends(HOLD_AFTER_ENDS, "held")
     for number in range(3 * MAX_SUSPECTS):
         quarantine.take(end(f"other-{number}", f"f{number}"), NOW)
     assert len(quarantine) == MAX_SUSPECTS
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -4,7 +4,7 @@
 import errno
 
 from wheatslip.outcome import Unknown
-from wheatslip.resting import MEMORY, RestLimit
+from wheatslip.resting import LIMIT_VALID_SECONDS, RestLimit
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.http.body import Body
 from wheatslipd.http.client import PROBE_SECONDS
@@ -23,7 +23,7 @@
     assert limit.trusted(0.0) == float("inf")
     limit.on_reset(0.3, 1.0)
     assert limit.trusted(1.0) == 0.15
-    assert limit.trusted(1.0 + MEMORY) == float("inf")
+    assert limit.trusted(1.0 + LIMIT_VALID_SECONDS) == float("inf")
 
 
 def test_the_shortest_rest_that_ended_in_a_reset_counts():
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from wheatslip.store.instances import INSTANCE_KIND
-from wheatslip.upstream import DEAD_AFTER, DEAD_AFTER_FAILURES
+from wheatslip.upstream import DEAD_AFTER_FAILURES, DEAD_AFTER_SECONDS
 from wheatslipd.registration.removal import RANK_SECONDS
 
 from fleet_adapter.wire import KINDS
@@ -142,10 +142,10 @@
                 dead.upstream.on_unreachable(float(second), Random(1))
             remover = daemon.own_server.remover
             remover._rank = lambda zone: 0
-            remover._clock = lambda: DEAD_AFTER - 1
+            remover._clock = lambda: DEAD_AFTER_SECONDS - 1
             await remover.remove_dead()
             assert (KINDS[INSTANCE_KIND], "b") in one.store.objects
-            remover._clock = lambda: DEAD_AFTER + 1
+            remover._clock = lambda: DEAD_AFTER_SECONDS + 1
             remover._version_of = lambda name: 1  # as it was before it started anew
             await remover._remove("b", dead.instance.incarnation + 1)
             assert (KINDS[INSTANCE_KIND], "b") in one.store.objects
@@ -175,11 +175,11 @@
             one.store.fault = Fault.BUSY  # so that the entry stays
             one.store.calls.clear()
             for remover in removers:
-                remover._clock = lambda: DEAD_AFTER + 1
+                remover._clock = lambda: DEAD_AFTER_SECONDS + 1
                 await remover.remove_dead()
             assert len([c for c in one.store.calls if c.startswith("DELETE")]) <= 1
             for remover in removers:
-                remover._clock = lambda: DEAD_AFTER + RANK_SECONDS + 1
+                remover._clock = lambda: DEAD_AFTER_SECONDS + RANK_SECONDS + 1
                 await remover.remove_dead()
             assert [c for c in one.store.calls if c.startswith("DELETE")]
             one.store.fault = Fault.NONE
