--- a/packages/wheatslip/wheatslip/store/objects.py
+++ b/packages/wheatslip/wheatslip/store/objects.py
@@ -106,7 +106,7 @@
     client: ObjectStore,
     kind: str,
     rng: Random,
-    on_trouble: Callable[[Unavailable], None] = lambda trouble: None,
+    on_error: Callable[[Unavailable], None] = lambda error: None,
     wait: float = WATCH_SECONDS,
     pause: float = 0.0,
     backoff_last: float = BACKOFF_LAST,
@@ -139,7 +139,7 @@
                     await asyncio.sleep(pause)
             case Err(TooOld()):
                 version = None
-            case Err(Unavailable() as trouble):
-                on_trouble(trouble)
+            case Err(Unavailable() as error):
+                on_error(error)
                 wait_now = 0.0
                 await asyncio.sleep(backoff.next())
