--- a/packages/wheatslip/wheatslip/resting.py
+++ b/packages/wheatslip/wheatslip/resting.py
@@ -18,16 +18,16 @@
 class RestLimit:
     """The longest idle time allowed for connections to one backend server."""
 
-    _trusted: float = float("inf")
+    _max_idle: float = float("inf")
     _learned_at: float = float("-inf")
 
     def on_reset(self, idle_seconds: float, now: float) -> None:
         """A request was reset on a connection that had been idle for `idle_seconds` seconds."""
         if idle_seconds < MIN_IDLE_SECONDS:
             return
-        self._trusted = min(self.trusted(now), IDLE_FRACTION * idle_seconds)
+        self._max_idle = min(self.trusted(now), IDLE_FRACTION * idle_seconds)
         self._learned_at = now
 
     def trusted(self, now: float) -> float:
         """The longest idle time after which a connection may be reused; `inf`: unlimited."""
-        return self._trusted if now - self._learned_at < LIMIT_VALID_SECONDS else float("inf")
+        return self._max_idle if now - self._learned_at < LIMIT_VALID_SECONDS else float("inf")
