--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -174,9 +174,9 @@
         """
         same_zone = [u for u in upstreams if u.zone == self.zone]
         other_zones = [u for u in upstreams if u.zone != self.zone]
-        candidates = self._sample(same_zone, self.settings.candidates)
-        missing = self.settings.candidates - len(candidates)
-        return candidates + self._sample(other_zones, max(MIN_OTHER_ZONE_CANDIDATES, missing))
+        selected = self._sample(same_zone, self.settings.candidates)
+        missing = self.settings.candidates - len(selected)
+        return selected + self._sample(other_zones, max(MIN_OTHER_ZONE_CANDIDATES, missing))
 
     def _sample(self, upstreams: list[Upstream], count: int) -> list[Upstream]:
         return upstreams if len(upstreams) <= count else self.rng.sample(upstreams, count)
--- a/packages/wheatslip/wheatslip/hop.py
+++ b/packages/wheatslip/wheatslip/hop.py
@@ -33,9 +33,10 @@
     urgent: bool = False
     key: str = ""
     depth: int = 0  # number of calls that led to this one, each made while serving the previous
-    max_wait: float | None = None  # the gate refuses the request if it would wait longer
-    target: float | None = None  # until the call's `target`
-    hold: float | None = None  # until the call's `hold_until`
+    # The gate refuses the request if it would wait longer; None: no limit.
+    max_wait: float | None = None
+    target: float | None = None  # until the call's `target`; None: no target
+    hold: float | None = None  # until the call's `hold_until`; None: not set
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/wheatslip/wheatslip/quarantine.py
+++ b/packages/wheatslip/wheatslip/quarantine.py
@@ -1,7 +1,7 @@
 """Quarantine for requests that may end the backend servers that run them.
 
 When a server ends, all requests that ran on it are reported, the cause and the others. A
-request that ends every server that runs it is never answered; the others are, on a retry.
+request that ends every server that runs it is never answered, so an answer clears a request.
 
 | standing | condition | effect |
 | --- | --- | --- |
@@ -28,7 +28,8 @@
 # Number of consecutive ends without an answer after which a request is held. It must be above
 # 2: a harmless request can run beside the same harmful one twice before its gate is informed.
 HOLD_AFTER_ENDS = 3
-REPORT_SECONDS = 300.0  # time until a report expires, and so the longest hold without new ends
+# Time until a report expires, and so the longest hold without new ends.
+REPORT_SECONDS = 300.0
 MAX_REPORTED = 64  # requests reported for one end, the latest ones: about 1.3 kB
 # Requests with records, about 300 bytes each. The record with the fewest ends is evicted, the
 # oldest of these first.
--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -113,9 +113,9 @@
     ) -> bool:
         """The health endpoint responded with id `server`; returns whether `current` changed.
 
-        `well` is whether its status was healthy, `warm_at` when the server will have warmed up
-        (None: not stated). The id always resolves a dispute. Otherwise the response is used
-        only until the first heartbeat, since its status may be wrong either way.
+        `warm_at` is when the server will have warmed up; None: not stated. The id always
+        resolves a dispute. Otherwise the response is used only until the first heartbeat, since
+        its status may be wrong either way.
         """
         if self._claim is not None:
             return self._resolve_dispute(server)
