--- a/packages/wheatslip/wheatslip/distribution/chunks.py
+++ b/packages/wheatslip/wheatslip/distribution/chunks.py
@@ -24,7 +24,7 @@
     is_packed: bool
 
 
-def cut(message: bytes) -> Iterator[Chunk]:
+def split_message(message: bytes) -> Iterator[Chunk]:
     """Yields the chunks of a message, at least one."""
     is_packed = len(message) >= COMPRESS_FROM_BYTES
     data = zlib.compress(message, ZLIB_LEVEL) if is_packed else message
--- a/packages/wheatslipd/wheatslipd/feed/relay.py
+++ b/packages/wheatslipd/wheatslipd/feed/relay.py
@@ -16,7 +16,7 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from grpclib.server import Server, Stream
 from result import Err, Ok
-from wheatslip.distribution.chunks import Chunk, Joiner, cut
+from wheatslip.distribution.chunks import Chunk, Joiner, split_message
 from wheatslip.distribution.feedcache import Cursor, FeedCache, Update
 from wheatslip.quarantine import EndReport
 from wheatslip.store.instances import Instance
@@ -131,7 +131,7 @@
                 update = msgspec.structs.replace(news, ends=ends, heartbeat=heartbeat)
                 head_at_sent = max(head_at_sent, news.head_at)
                 heartbeat = 0.0
-                for chunk in cut(msgspec.msgpack.encode(update)):
+                for chunk in split_message(msgspec.msgpack.encode(update)):
                     await stream.send_message(chunk)
                 cursor = _advance(cursor, update)
                 with suppress(TimeoutError):
--- a/test/test_chunks.py
+++ b/test/test_chunks.py
@@ -7,7 +7,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from wheatslip.distribution import chunks
-from wheatslip.distribution.chunks import CHUNK_BYTES, COMPRESS_FROM_BYTES, Chunk, Joiner, cut
+from wheatslip.distribution.chunks import (
+    CHUNK_BYTES,
+    COMPRESS_FROM_BYTES,
+    Chunk,
+    Joiner,
+    split_message,
+)
 
 EDGES = (0, 1, COMPRESS_FROM_BYTES - 1, COMPRESS_FROM_BYTES, COMPRESS_FROM_BYTES + 1)
 
@@ -21,7 +27,7 @@
 def test_messages_come_out_as_they_were_sent(messages):
     joiner = Joiner()
     for message in messages:
-        *before, whole = join(joiner, cut(message))
+        *before, whole = join(joiner, split_message(message))
         assert whole == message
         assert not any(before)
 
@@ -29,7 +35,7 @@
 @pytest.mark.parametrize("size", [*EDGES, CHUNK_BYTES, CHUNK_BYTES + 1, 5 * CHUNK_BYTES])
 def test_no_chunk_is_longer_than_a_receiver_waits_for(size):
     message = Random(1).randbytes(size)  # that can't be packed
-    sent = list(cut(message))
+    sent = list(split_message(message))
     assert [chunk.is_last for chunk in sent] == [False] * (len(sent) - 1) + [True]
     assert all(len(chunk.data) <= CHUNK_BYTES for chunk in sent)
     assert join(Joiner(), sent)[-1] == message
@@ -39,7 +45,7 @@
     message = b"".join(
         b'{"host":"host-%d.example","prefix":"/%x/"}' % (n, n) for n in range(1400)
     )
-    assert sum(len(chunk.data) for chunk in cut(message)) < len(message) / 5
+    assert sum(len(chunk.data) for chunk in split_message(message)) < len(message) / 5
 
 
 @pytest.mark.parametrize(
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -16,7 +16,7 @@
 import msgspec
 import pytest
 from grpclib.server import Server
-from wheatslip.distribution.chunks import Chunk, cut
+from wheatslip.distribution.chunks import Chunk, split_message
 from wheatslip.distribution.feedcache import Cursor, Update
 from wheatslip.distribution.relaytree import WATCHERS, relay_order
 from wheatslip.store.instances import Instance
@@ -190,7 +190,7 @@
     async def _follow(self, stream):
         await stream.recv_message()
         for number in itertools.count(1):
-            for chunk in cut(msgspec.msgpack.encode(Update(float(number)))):
+            for chunk in split_message(msgspec.msgpack.encode(Update(float(number)))):
                 await stream.send_message(chunk)
             await asyncio.sleep(self._seconds)
 
