--- a/packages/wheatslip/wheatslip/distribution/endlog.py
+++ b/packages/wheatslip/wheatslip/distribution/endlog.py
@@ -40,12 +40,12 @@
             self._entries.popitem(last=False)
         return True
 
-    def after(self, position: int, but_from: str = "") -> tuple[EndReport, ...]:
-        """The reports after a position, except those sent by the daemon `but_from`."""
+    def after(self, position: int, exclude_source: str = "") -> tuple[EndReport, ...]:
+        """The reports after a position, except those sent by the daemon `exclude_source`."""
         return tuple(
             entry.report
             for entry in self._entries.values()
-            if entry.position > position and entry.source != but_from
+            if entry.position > position and entry.source != exclude_source
         )
 
     def _drop_expired(self, now: float) -> None:
--- a/packages/wheatslipd/wheatslipd/feed/endreporter.py
+++ b/packages/wheatslipd/wheatslipd/feed/endreporter.py
@@ -52,7 +52,7 @@
         if name != self._told:
             self._told, self._told_up_to = name, 0
         position = self._cache.ends.position
-        reports = self._cache.ends.after(self._told_up_to, but_from=name)
+        reports = self._cache.ends.after(self._told_up_to, exclude_source=name)
         if reports and not await report_ends(
             instance, EndReports(self._name, reports), self._tls
         ):
--- a/packages/wheatslipd/wheatslipd/feed/relay.py
+++ b/packages/wheatslipd/wheatslipd/feed/relay.py
@@ -125,7 +125,7 @@
         try:
             while not self._is_leaving:
                 changed = self._changed
-                ends = self._cache.ends.after(ends_sent, but_from=cursor.follower)
+                ends = self._cache.ends.after(ends_sent, exclude_source=cursor.follower)
                 ends_sent = self._cache.ends.position
                 news = self._cache.since(cursor, head_at_sent)
                 update = msgspec.structs.replace(news, ends=ends, heartbeat=heartbeat)
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -123,7 +123,7 @@
     assert not log.add(first, "b", NOW)
     assert log.after(0) == (first, second)
     assert log.after(1) == (second,) and log.after(2) == ()
-    assert log.after(0, but_from="a") == (second,)
+    assert log.after(0, exclude_source="a") == (second,)
     assert not log.add(end(3, "f", since=NOW - REPORT_SECONDS), "a", NOW)
     log.add(end(4, "f", since=NOW + REPORT_SECONDS), "a", NOW + REPORT_SECONDS)
     assert len(log.after(0)) == 1
