--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -119,7 +119,7 @@
         self.listed = listed
         return applied
 
-    def is_late(self, update: Update) -> bool:
+    def is_outdated(self, update: Update) -> bool:
         """Whether the update's list is older than this one.
 
         An update from a daemon other than the parent may arrive after newer ones. Applying it
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -113,7 +113,7 @@
             self.take_ends(update.ends, source)
         if update.drains is not None:
             self._take_drains(update.drains)
-        if (update.whole or update.changes) and not self.cache.is_late(update):
+        if (update.whole or update.changes) and not self.cache.is_outdated(update):
             self._take_list(update.listed, list(update.changes), whole=update.whole)
         self.cache.checked = max(self.cache.checked, update.checked)
         if update.as_of > self.cache.as_of:
--- a/test/test_feed_model.py
+++ b/test/test_feed_model.py
@@ -24,7 +24,7 @@
 
 def take(cache, update):
     """What a daemon does with the list in an update."""
-    if (update.whole or update.changes) and not cache.is_late(update):
+    if (update.whole or update.changes) and not cache.is_outdated(update):
         cache.take_list(update.listed, update.changes, whole=update.whole)
 
 
