--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -159,7 +159,7 @@
         self.drains = drains
         return True
 
-    def with_deltas(self, deltas: Iterable[BundleDelta]) -> Bundle | None:
+    def bundle_after_deltas(self, deltas: Iterable[BundleDelta]) -> Bundle | None:
         """The current bundle with `deltas` applied; None if they do not apply to it."""
         bundle = self.bundle
         for delta in deltas:
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -132,7 +132,7 @@
 
     def take_deltas(self, head: Head, deltas: tuple[BundleDelta, ...]) -> None:
         """Take differences that should lead to the bundle of `head`."""
-        bundle = self.cache.with_deltas(deltas)
+        bundle = self.cache.bundle_after_deltas(deltas)
         if bundle is None:
             logs.warning("delta-does-not-fit", version=head.version)
             self._on_gap(head.version)
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -116,8 +116,8 @@
     assert behind.signed is None
     assert [delta.base for delta in behind.deltas] == [1, 2]
     follower = filled_cache(version=1)
-    assert follower.with_deltas(behind.deltas) == cache.bundle
-    assert FeedCache().with_deltas(behind.deltas) is None
+    assert follower.bundle_after_deltas(behind.deltas) == cache.bundle
+    assert FeedCache().bundle_after_deltas(behind.deltas) is None
 
 
 def test_list_changes_reach_a_follower_in_order():
