--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -93,7 +93,7 @@
         """Length of the signed bundle body; 0 if there is no bundle."""
         return len(self._signed.body) if self._signed is not None else 0
 
-    def take_list(
+    def apply_list(
         self, listed: int, changes: Iterable[ListChange], *, whole: bool
     ) -> list[ListChange]:
         """Applies the whole list, or changes up to version `listed`; returns those applied.
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -150,7 +150,7 @@
         self._take_signed(head, signed)
 
     def _take_list(self, listed: int, changes: list[ListChange], *, whole: bool) -> None:
-        changes = self.cache.take_list(listed, changes, whole=whole)
+        changes = self.cache.apply_list(listed, changes, whole=whole)
         present = tuple(c.instance for c in changes if c.instance is not None)
         gone = tuple(c.name for c in changes if c.instance is None)
         if whole or changes:
--- a/test/test_feed_model.py
+++ b/test/test_feed_model.py
@@ -25,7 +25,7 @@
 def take(cache, update):
     """What a daemon does with the list in an update."""
     if (update.whole or update.changes) and not cache.is_outdated(update):
-        cache.take_list(update.listed, update.changes, whole=update.whole)
+        cache.apply_list(update.listed, update.changes, whole=update.whole)
 
 
 class FeedMachine(RuleBasedStateMachine):
@@ -62,7 +62,7 @@
             return
         version, everything = self.states[index % len(self.states)]
         if version >= self.caches[number].listed:
-            self.caches[number].take_list(version, everything, whole=True)
+            self.caches[number].apply_list(version, everything, whole=True)
 
     @rule(name=st.sampled_from(NAMES), leaves=st.booleans())
     def write(self, name, leaves):
@@ -89,7 +89,7 @@
 
     @rule()
     def watcher_reads_the_whole(self):
-        self.caches[0].take_list(self.version, self._everything(), whole=True)
+        self.caches[0].apply_list(self.version, self._everything(), whole=True)
 
     @rule()
     def watcher_reads_changes(self):
@@ -99,7 +99,7 @@
             self.watcher_reads_the_whole()
             return
         changes = [c for c in self.history if c.version > cache.listed]
-        cache.take_list(self.version, changes, whole=False)
+        cache.apply_list(self.version, changes, whole=False)
 
     @rule(follower=st.sampled_from(FOLLOWERS), back=st.integers(1, 3))
     def ask(self, follower, back):
@@ -123,7 +123,7 @@
             return
         number, version, changes = self.watched.pop(index % len(self.watched))
         if version >= self.caches[number].listed:
-            self.caches[number].take_list(version, changes, whole=False)
+            self.caches[number].apply_list(version, changes, whole=False)
 
     @rule(follower=st.sampled_from(FOLLOWERS))
     def watcher_asks(self, follower):
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -87,7 +87,7 @@
 def filled_cache(version=1):
     cache = FeedCache()
     changes = [ListChange(n, f"papers-{n}", instance(f"papers-{n}")) for n in (1, 2)]
-    cache.take_list(2, changes, whole=True)
+    cache.apply_list(2, changes, whole=True)
     for number in range(1, version + 1):
         new = bundle(BUNDLE.replace("slots = 4", f"slots = {number}"), number)
         signed = SignedBundle(new.canonical().decode())
@@ -122,7 +122,7 @@
 
 def test_list_changes_reach_a_follower_in_order():
     cache = filled_cache()
-    cache.take_list(5, [ListChange(5, "papers-1", None)], whole=False)
+    cache.apply_list(5, [ListChange(5, "papers-1", None)], whole=False)
     update = cache.since(Cursor("behind", bundle=1, listed=2))
     assert not update.whole
     assert update.changes == (ListChange(5, "papers-1", None),)
@@ -131,9 +131,9 @@
 def test_a_change_that_the_list_holds_already_sets_nothing_back():
     cache = FeedCache()
     newer = msgspec.structs.replace(instance("papers-1"), incarnation=2)
-    cache.take_list(3, [ListChange(6, "papers-1", newer)], whole=True)
+    cache.apply_list(3, [ListChange(6, "papers-1", newer)], whole=True)
     again = [ListChange(5, "papers-1", None), ListChange(6, "papers-1", newer)]
-    taken = cache.take_list(
+    taken = cache.apply_list(
         6, [*again, ListChange(7, "papers-2", instance("papers-2"))], whole=False
     )
     assert [change.version for change in taken] == [6, 7]
@@ -144,9 +144,9 @@
     """Told again, an instance that has come and gone would be back for a moment."""
     cache = filled_cache()
     came_and_went = [ListChange(3, "c", instance("c")), ListChange(4, "c", None)]
-    cache.take_list(4, came_and_went, whole=False)
+    cache.apply_list(4, came_and_went, whole=False)
     last = ListChange(5, "d", instance("d"))
-    assert cache.take_list(5, [*came_and_went, last], whole=False) == [last]
+    assert cache.apply_list(5, [*came_and_went, last], whole=False) == [last]
 
 
 async def zone_of(installation, count):
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -177,7 +177,7 @@
             TrustedPlatform(),
             Bus(),
         )
-        feed.cache.take_list(
+        feed.cache.apply_list(
             1,
             [ListChange(1, "a", Instance("a", "papers", "one", HOST, 1, 2, giver.port))],
             whole=True,
