--- a/bench/streams.py
+++ b/bench/streams.py
@@ -64,7 +64,7 @@
         for operator in ("anna", "moussa")
     )
     signed = SignedBundle(new.canonical().decode(), signatures)
-    cache.take_bundle(Head(version, new.digest()), signed, new)
+    cache.store_bundle(Head(version, new.digest()), signed, new)
 
 
 async def measure() -> StreamBytes:
--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -135,7 +135,7 @@
         """
         return self._versions.get(name, 0)
 
-    def take_bundle(self, head: Head, signed: SignedBundle, bundle: Bundle) -> None:
+    def store_bundle(self, head: Head, signed: SignedBundle, bundle: Bundle) -> None:
         """Stores a verified bundle, unless it is older than the current one."""
         if self.head is not None and head.version <= self.head.version:
             return
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -183,7 +183,7 @@
         """Check a bundle, whichever way it came, and put it in force."""
         match self._proof.bundle(signed):
             case Ok(bundle) if _is_named_by(bundle, head):
-                self.cache.take_bundle(head, signed, bundle)
+                self.cache.store_bundle(head, signed, bundle)
                 self._relay.announce()
                 self._bus.fire(bundle_verified(bundle, head))
             case Ok(_):
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -91,7 +91,7 @@
     for number in range(1, version + 1):
         new = bundle(BUNDLE.replace("slots = 4", f"slots = {number}"), number)
         signed = SignedBundle(new.canonical().decode())
-        cache.take_bundle(Head(number, new.digest()), signed, new)
+        cache.store_bundle(Head(number, new.digest()), signed, new)
     return cache
 
 
@@ -209,7 +209,7 @@
             victim = watching[0]
             del installation.nodes[victim.instance.name]
             victim.daemon.feed.relay._server.close()
-            victim.daemon.feed.cache.take_bundle = lambda *news: None  # it learns no more
+            victim.daemon.feed.cache.store_bundle = lambda *news: None  # it learns no more
             await installation.release(bundle(version=2))
             await eventually(lambda: _all_have(installation, 2))
             installation.nodes[victim.instance.name] = victim
@@ -235,7 +235,7 @@
             head = Head(2, forged.digest())
             signed = SignedBundle(forged.canonical().decode())
             for node in watching:
-                node.daemon.feed.cache.take_bundle(head, signed, forged)
+                node.daemon.feed.cache.store_bundle(head, signed, forged)
                 node.daemon.feed.relay.announce()
             await installation.release(bundle(version=2))
             real = bundle(version=2).digest()
