--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -146,7 +146,7 @@
         self.bundle = bundle
         self._signed = signed
 
-    def take_drains(self, drains: ZoneDrains) -> bool:
+    def store_drains(self, drains: ZoneDrains) -> bool:
         """Stores the zone drains and returns true if they are newer and differ from before.
 
         If only the version is new, the old version is kept, so that followers get no update.
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -159,7 +159,7 @@
         self._relay.announce()
 
     def _take_drains(self, drains: ZoneDrains) -> None:
-        if self.cache.take_drains(drains):
+        if self.cache.store_drains(drains):
             self._relay.announce()
             self._bus.fire(zones_drained(drains))
 
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -307,7 +307,7 @@
         changes = whole(version) if is_whole else map(change, range(since + 1, version + 1))
         new = with_changes(cache.drains, changes, version, whole=is_whole)
         if new is not None:
-            cache.take_drains(new)
+            cache.store_drains(new)
 
     def check(before):
         for cache, old in zip(caches, before, strict=True):
@@ -324,7 +324,7 @@
         before = [cache.drains for cache in caches]
         update = caches[number].since(caches[number - 1].cursor("x"))
         if update.drains is not None:
-            caches[number - 1].take_drains(update.drains)
+            caches[number - 1].store_drains(update.drains)
         check(before)
     for number in range(3):
         answer(number, 0, last, True)
--- a/test/test_zone_model.py
+++ b/test/test_zone_model.py
@@ -48,7 +48,7 @@
 def cache_with(known):
     cache = FeedCache()
     if known is not None:
-        cache.take_drains(known)
+        cache.store_drains(known)
     return cache
 
 
@@ -56,7 +56,7 @@
     """What a daemon that knows `known` makes of an answer."""
     cache = cache_with(known)
     if answer.update is not None:
-        cache.take_drains(answer.update)
+        cache.store_drains(answer.update)
         return cache.drains
     if answer.since is None:
         changes = drain_at(answer.version) if is_emptied(answer.version) else ()
@@ -65,7 +65,7 @@
         changes = [change for version in versions for change in drain_at(version)]
     new = with_changes(known, changes, answer.version, whole=answer.since is None)
     if new is not None:
-        cache.take_drains(new)
+        cache.store_drains(new)
     return cache.drains
 
 
