--- a/packages/wheatslip/wheatslip/distribution/headage.py
+++ b/packages/wheatslip/wheatslip/distribution/headage.py
@@ -18,7 +18,7 @@
         self._lost_after = lost_after
         self._is_lost = False
 
-    def look(self, age: float) -> AgeChange | None:
+    def check_age(self, age: float) -> AgeChange | None:
         """Updates the state. `age` is in seconds; returns None if there was no transition."""
         was_lost = self._is_lost
         self._is_lost = age > self._lost_after
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -146,7 +146,7 @@
             if age is None:
                 continue
             way = self.parent or "platform"
-            match head_age.look(age):
+            match head_age.check_age(age):
                 case AgeChange.LOST:
                     logs.warning("head-unconfirmed", age=round(age, 1), way=way)
                 case AgeChange.FOUND:
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -222,7 +222,7 @@
 
 def test_losing_and_finding_the_way_to_the_head_is_told_once():
     age = HeadAge(lost_after=5.0)
-    assert [age.look(seconds) for seconds in (0.0, 4.9, 5.1, 7.0, 0.1, 0.2)] == [
+    assert [age.check_age(seconds) for seconds in (0.0, 4.9, 5.1, 7.0, 0.1, 0.2)] == [
         None,
         None,
         AgeChange.LOST,
