--- a/packages/wheatslip/wheatslip/store/backoff.py
+++ b/packages/wheatslip/wheatslip/store/backoff.py
@@ -3,14 +3,14 @@
 from random import Random
 
 BACKOFF_FIRST_SECONDS = 0.1
-BACKOFF_LAST = 5.0  # seconds
+BACKOFF_MAX_SECONDS = 5.0  # seconds
 MAX_DOUBLINGS = 30  # keeps the exponent within the range of a float
 
 
 class Backoff:
     """The waits of one sequence of retries. `rng` is seeded by the caller."""
 
-    def __init__(self, rng: Random, last: float = BACKOFF_LAST):
+    def __init__(self, rng: Random, last: float = BACKOFF_MAX_SECONDS):
         """`last` limits the random part of a wait, in seconds."""
         self._rng = rng
         self._last = last
--- a/packages/wheatslip/wheatslip/store/objects.py
+++ b/packages/wheatslip/wheatslip/store/objects.py
@@ -12,7 +12,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from wheatslip.store.backoff import BACKOFF_LAST, Backoff
+from wheatslip.store.backoff import BACKOFF_MAX_SECONDS, Backoff
 
 # Longest wait of one watch call. Without changes it returns an empty listing after that time,
 # which confirms the version.
@@ -109,7 +109,7 @@
     on_error: Callable[[Unavailable], None] = lambda error: None,
     wait: float = WATCH_SECONDS,
     pause: float = 0.0,
-    backoff_last: float = BACKOFF_LAST,
+    backoff_last: float = BACKOFF_MAX_SECONDS,
     since: int | None = None,
 ) -> AsyncIterator[Listing]:
     """Yields a full listing of a kind, then its changes without gaps.
--- a/packages/wheatslipd/wheatslipd/feed/feedpace.py
+++ b/packages/wheatslipd/wheatslipd/feed/feedpace.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from wheatslip.distribution.relaytree import WATCHERS
-from wheatslip.store.backoff import BACKOFF_LAST
+from wheatslip.store.backoff import BACKOFF_MAX_SECONDS
 from wheatslip.store.objects import WATCH_SECONDS
 
 
@@ -16,5 +16,5 @@
     watch_check: float = 0.0  # between the calls that check the watches; 0: none
     list_watch: float = WATCH_SECONDS
     list_pause: float = 0.0  # between two changes of the list
-    retry_last: float = BACKOFF_LAST  # longest wait after a failed call
+    retry_last: float = BACKOFF_MAX_SECONDS  # longest wait after a failed call
     settle: float = 0.0  # before an empty list of the own zone is read again, at the start
