--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Registered:
+class RegisteredServer:
     """The backend server that is registered with the daemon.
 
     `slots` is its concurrency. `warm_at` is the monotonic time in seconds at which it will have
@@ -72,7 +72,7 @@
 
     pool: str
     address: str
-    current: Registered | None = None
+    current: RegisteredServer | None = None
     _sequence: int = -1
     _claim: _Claim | None = None
     _retired: OrderedDict[str, None] = field(default_factory=OrderedDict)
@@ -105,7 +105,7 @@
         current = self.current
         if current is None or current.server != server or current.leaving:
             return False
-        self.current = Registered(server, current.slots, True, current.warm_at)
+        self.current = RegisteredServer(server, current.slots, True, current.warm_at)
         return True
 
     def on_health(
@@ -121,7 +121,7 @@
             return self._resolve_dispute(server)
         if self.current is not None or server in self._retired or not well:
             return False
-        self.current = Registered(server, slots, warm_at=warm_at)
+        self.current = RegisteredServer(server, slots, warm_at=warm_at)
         return True
 
     def _confirms_claim(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
@@ -167,7 +167,9 @@
         leaving = heartbeat.state is ServerState.LEAVING
         if previous is not None and previous.server == server:
             leaving = leaving or previous.leaving
-        self.current = Registered(server, heartbeat.slots, leaving, now + heartbeat.warm_in)
+        self.current = RegisteredServer(
+            server, heartbeat.slots, leaving, now + heartbeat.warm_in
+        )
         return previous is None or (previous.server, previous.slots, previous.leaving) != (
             server,
             heartbeat.slots,
--- a/packages/wheatslipd/wheatslipd/controllers/events.py
+++ b/packages/wheatslipd/wheatslipd/controllers/events.py
@@ -7,7 +7,7 @@
 from wheatslip.exposure import Exposed
 from wheatslip.quarantine import EndReport
 from wheatslip.store.instances import Instance
-from wheatslip.store.registration import Registered
+from wheatslip.store.registration import RegisteredServer
 
 
 class newer_version_seen(Event):
@@ -62,7 +62,7 @@
 class backend_registered(Event):
     """The backend server beside us registered, or changed what it says of itself."""
 
-    def __init__(self, registered: Registered):
+    def __init__(self, registered: RegisteredServer):
         super().__init__(registered)
 
 
--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -4,7 +4,7 @@
 from wheatslip.admission import AdmissionSettings
 from wheatslip.config.bundle import Bundle
 from wheatslip.store.instances import Instance
-from wheatslip.store.registration import Registered
+from wheatslip.store.registration import RegisteredServer
 
 from wheatslipd.controllers.view import View
 from wheatslipd.feed.feed import Feed
@@ -63,7 +63,7 @@
         self._server_side.backend.bound_connections(pool.connections)
         self._server_side.measurer.budget.per_second = pool.probes_per_second
 
-    def backend_registered(self, registered: Registered) -> None:
+    def backend_registered(self, registered: RegisteredServer) -> None:
         """Apply what the backend server beside us reports, and publish it."""
         assert self._own_server is not None
         self._server_side.peer_port.server = registered.server
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -14,7 +14,7 @@
 from wheatslip.config.bundle import Pool
 from wheatslip.store.instances import Instance, InstanceState
 from wheatslip.store.objects import ObjectStore
-from wheatslip.store.registration import Registered, Registration
+from wheatslip.store.registration import RegisteredServer, Registration
 
 from wheatslipd.feed.feed import Feed
 from wheatslipd.gate.recoveryprobe import RecoveryProbe
@@ -113,7 +113,7 @@
             pool.cold.seconds, pool.cold.per_second, settings.cold_overage, settings.cold_slack
         )
 
-    def _take_beat(self, registered: Registered) -> None:
+    def _take_beat(self, registered: RegisteredServer) -> None:
         """The registered server is alive; take over when it will be warm, if it said so."""
         now = self._clock()
         if registered.warm_at is not None:
@@ -121,7 +121,7 @@
         if not registered.leaving:
             self._gate.server_stays()
 
-    def take_registration(self, registered: Registered) -> None:
+    def take_registration(self, registered: RegisteredServer) -> None:
         """Apply the slots that the server reports; a new server is asked how fast it is."""
         if registered.server != self._server:
             self._take_new(registered)
@@ -130,7 +130,7 @@
         admission = self._gate.admission
         admission.resize(dataclasses.replace(admission.settings, slots=self._slots))
 
-    def _take_new(self, registered: Registered) -> None:
+    def _take_new(self, registered: RegisteredServer) -> None:
         if self._settings.headers.load:
             self._gate.speed_unknown()
         cold = self._gate.admission.cold
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -10,7 +10,7 @@
 
 import msgspec
 from wheatslip.backendload import BackendLoad, decode_backend_load
-from wheatslip.store.registration import Heartbeat, Registered, Registration
+from wheatslip.store.registration import Heartbeat, RegisteredServer, Registration
 
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.events import backend_registered
@@ -52,7 +52,7 @@
         bus: Bus,
         clock: Callable[[], float],
         on_load: Callable[[BackendLoad], None],
-        on_beat: Callable[[Registered], None],
+        on_beat: Callable[[RegisteredServer], None],
         health_path: str,
         decode: HeartbeatDecoder = decode_heartbeat,
     ):
