--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -97,7 +97,7 @@
                 return False
         return self._take_over(server, heartbeat, now)
 
-    def on_goodbye(self, server: str) -> bool:
+    def on_deregistration(self, server: str) -> bool:
         """The server deregisters and will not come back; returns whether `current` changed."""
         self._retire(server)
         if self._claim is not None and self._claim.server == server:
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -82,7 +82,7 @@
         except BodyBroken:
             return
         if head.method == b"DELETE":
-            self._apply(self._registration.on_goodbye(server))
+            self._apply(self._registration.on_deregistration(server))
             await exchange.respond(ResponseHead(200))
             return
         beat = self._decode(body) if head.method == b"PUT" else None
--- a/test/test_registration.py
+++ b/test/test_registration.py
@@ -46,7 +46,7 @@
 
 def test_a_goodbye_counts_without_a_heartbeat_before_it():
     one = registration()
-    assert not one.on_goodbye("a")
+    assert not one.on_deregistration("a")
     assert not one.on_heartbeat("a", beat(1), 0.0)
     assert one.current is None
 
@@ -58,7 +58,7 @@
     assert one.on_health("b", 12, well=False) and not one.is_disputed
     assert one.current.server == "b"
     assert not one.on_heartbeat("a", beat(6), 1.1)
-    assert not one.on_goodbye("a")
+    assert not one.on_deregistration("a")
     assert one.current.server == "b" and not one.current.leaving
 
 
@@ -115,7 +115,7 @@
 def test_ids_of_the_past_are_bounded():
     one = registration()
     for number in range(MAX_RETIRED_IDS + 50):
-        one.on_goodbye(str(number))
+        one.on_deregistration(str(number))
     assert len(one._retired) == MAX_RETIRED_IDS
 
 
@@ -136,7 +136,7 @@
     left = set()
     for server, sequence, state in words:
         if state is None:
-            one.on_goodbye(server)
+            one.on_deregistration(server)
             left.add(server)
         else:
             one.on_heartbeat(server, beat(sequence, state), 0.0)
