--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -109,7 +109,7 @@
         return True
 
     def on_health(
-        self, server: str, slots: int, *, well: bool, warm_at: float | None = None
+        self, server: str, slots: int, *, is_healthy: bool, warm_at: float | None = None
     ) -> bool:
         """The health endpoint responded with id `server`; returns whether `current` changed.
 
@@ -119,7 +119,7 @@
         """
         if self._claim is not None:
             return self._resolve_dispute(server)
-        if self.current is not None or server in self._retired or not well:
+        if self.current is not None or server in self._retired or not is_healthy:
             return False
         self.current = RegisteredServer(server, slots, warm_at=warm_at)
         return True
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -131,10 +131,12 @@
         if not server or (load is None and not self._registration.is_disputed):
             return
         slots = load.slots if load is not None else 0
-        well = found.status == GOOD
+        is_healthy = found.status == GOOD
         remaining = cold_remaining(found, self._names.cold)
         warm_at = None if remaining is None else self._clock() + remaining
-        self._apply(self._registration.on_health(server, slots, well=well, warm_at=warm_at))
+        self._apply(
+            self._registration.on_health(server, slots, is_healthy=is_healthy, warm_at=warm_at)
+        )
         if load is not None:
             self._on_load(load)
 
--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -116,10 +116,10 @@
 
 def test_a_server_known_by_its_health_alone_has_told_or_not():
     registration = Registration("papers", "10.0.0.9:80")
-    registration.on_health("i-1", 4, well=True)
+    registration.on_health("i-1", 4, is_healthy=True)
     assert registration.current.warm_at is None
     registration = Registration("papers", "10.0.0.9:80")
-    registration.on_health("i-1", 4, well=True, warm_at=9.0)
+    registration.on_health("i-1", 4, is_healthy=True, warm_at=9.0)
     assert registration.current.warm_at == 9.0
 
 
--- a/test/test_registration.py
+++ b/test/test_registration.py
@@ -55,7 +55,7 @@
     one = registration()
     one.on_heartbeat("a", beat(5), 0.0)
     assert not one.on_heartbeat("b", beat(1), 1.0) and one.is_disputed
-    assert one.on_health("b", 12, well=False) and not one.is_disputed
+    assert one.on_health("b", 12, is_healthy=False) and not one.is_disputed
     assert one.current.server == "b"
     assert not one.on_heartbeat("a", beat(6), 1.1)
     assert not one.on_deregistration("a")
@@ -64,7 +64,7 @@
 
 def test_a_late_draining_word_of_the_server_before_spares_the_present_one():
     one = registration()
-    one.on_health("b", 12, well=True)
+    one.on_health("b", 12, is_healthy=True)
     assert not one.on_heartbeat("a", beat(9, ServerState.LEAVING), 0.0)
     assert one.current.server == "b" and not one.current.leaving
 
@@ -76,10 +76,10 @@
         if by_heartbeat:
             one.on_heartbeat("b", beat(1), 0.0)
         else:
-            one.on_health("b", 12, well=True)
+            one.on_health("b", 12, is_healthy=True)
         assert not one.on_heartbeat("a", beat(9), 0.5)
         assert one.current.server == "b" and one.is_disputed
-        assert not one.on_health("b", 12, well=True)
+        assert not one.on_health("b", 12, is_healthy=True)
         assert one.current.server == "b" and not one.is_disputed
         assert not one.on_heartbeat("a", beat(10), 2.5)
         one.on_heartbeat("b", beat(2), 2.6)
@@ -105,9 +105,9 @@
 
 def test_health_tells_who_is_there_only_until_a_heartbeat():
     one = registration()
-    assert not one.on_health("a", 12, well=False)
-    assert one.on_health("a", 12, well=True)
-    assert not one.on_health("b", 12, well=True)
+    assert not one.on_health("a", 12, is_healthy=False)
+    assert one.on_health("a", 12, is_healthy=True)
+    assert not one.on_health("b", 12, is_healthy=True)
     assert one.on_heartbeat("a", beat(1, ServerState.LEAVING), 0.0)
     assert one.current.leaving
 
