--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -140,7 +140,7 @@
             return self._may_have_run
         return self.last
 
-    def expired(self) -> Outcome:
+    def deadline_outcome(self) -> Outcome:
         """The outcome to report when the deadline passes during a try."""
         has_run = isinstance(self.last, Answered)
         if has_run or self._current_may_have_run or self._may_have_run is not None:
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -127,7 +127,7 @@
                     return NotRun(Reason.BAD_REQUEST)
                 await self._try_all(sending)
         except TimeoutError:
-            return attempts.expired()
+            return attempts.deadline_outcome()
         return attempts.result()
 
     async def _prepare(
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -107,7 +107,7 @@
         if self._next():
             self.tries.on_bytes_sent()
             self.may_have_run += 1
-            assert not isinstance(self.tries.expired(), NotRun)
+            assert not isinstance(self.tries.deadline_outcome(), NotRun)
             self.tries.ended(Unknown(Reason.DEADLINE))
             self.is_over = True
 
@@ -115,7 +115,7 @@
     def what_may_have_run_is_never_said_not_to_have(self):
         if getattr(self, "may_have_run", 0):
             assert not isinstance(self.tries.result(), NotRun)
-            assert not isinstance(self.tries.expired(), NotRun)
+            assert not isinstance(self.tries.deadline_outcome(), NotRun)
 
     @invariant()
     def what_may_not_be_repeated_is_not(self):
@@ -149,11 +149,11 @@
     tries.next(group, 0.0)
     tries.ended(NotRun(Reason.DRAINING))
     assert tries.result() == Unknown(Reason.CONNECTION_LOST)
-    assert tries.expired() == Unknown(Reason.DEADLINE)
+    assert tries.deadline_outcome() == Unknown(Reason.DEADLINE)
 
 
 def test_a_deadline_before_any_byte_was_sent_is_not_run():
-    assert attempts(repeatable=False).expired() == NotRun(Reason.DEADLINE)
+    assert attempts(repeatable=False).deadline_outcome() == NotRun(Reason.DEADLINE)
 
 
 def test_retries_end_with_the_budget():
