--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -105,7 +105,7 @@
         """Records that the current try may run from now on."""
         self._current_may_have_run = True
 
-    def ended(self, outcome: Outcome) -> bool:
+    def finish_try(self, outcome: Outcome) -> bool:
         """Records the outcome of the current try. Returns whether to retry the call; the retry
         has then been charged to the budget.
         """
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -169,7 +169,7 @@
             sending.guard.on_outcome(outcome)
             if isinstance(outcome, Replaced):
                 continue  # the attempts have counted it, and paid for the next
-            again = attempts.ended(outcome) and not sending.request.exchange.started
+            again = attempts.finish_try(outcome) and not sending.request.exchange.started
 
     @staticmethod
     def _log_held(sending: _Sending) -> None:
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -45,7 +45,7 @@
             break
         tries.on_bytes_sent()
         seen.append(outcome)
-        if not tries.ended(outcome):
+        if not tries.finish_try(outcome):
             break
     may_have_run = [o for o in seen if not isinstance(o, NotRun)]
     if not repeatable:
@@ -91,7 +91,7 @@
         if sent or not isinstance(outcome, NotRun):
             self.tries.on_bytes_sent()
         self.may_have_run += not isinstance(outcome, NotRun)
-        self.is_over = not self.tries.ended(outcome)
+        self.is_over = not self.tries.finish_try(outcome)
 
     @rule(status=st.sampled_from([500, 503]))
     def a_server_that_ran_it_answers_badly(self, status):
@@ -100,7 +100,7 @@
         self.tries.on_bytes_sent()
         self.may_have_run += 1
         if not self.tries.replace_answer(status):
-            self.is_over = not self.tries.ended(Answered(status))
+            self.is_over = not self.tries.finish_try(Answered(status))
 
     @rule()
     def time_runs_out_during_a_try(self):
@@ -108,7 +108,7 @@
             self.tries.on_bytes_sent()
             self.may_have_run += 1
             assert not isinstance(self.tries.deadline_outcome(), NotRun)
-            self.tries.ended(Unknown(Reason.DEADLINE))
+            self.tries.finish_try(Unknown(Reason.DEADLINE))
             self.is_over = True
 
     @invariant()
@@ -136,7 +136,7 @@
         tries = attempts(repeatable, tokens=0.0)
         tries.next(group, 0.0)
         tries.on_bytes_sent()
-        assert tries.ended(Unknown(Reason.UNACKNOWLEDGED)) is repeatable
+        assert tries.finish_try(Unknown(Reason.UNACKNOWLEDGED)) is repeatable
         assert tries.result() == Unknown(Reason.UNACKNOWLEDGED)
 
 
@@ -145,9 +145,9 @@
     group = upstreams("ab")
     tries.next(group, 0.0)
     tries.on_bytes_sent()
-    assert tries.ended(Unknown(Reason.CONNECTION_LOST))
+    assert tries.finish_try(Unknown(Reason.CONNECTION_LOST))
     tries.next(group, 0.0)
-    tries.ended(NotRun(Reason.DRAINING))
+    tries.finish_try(NotRun(Reason.DRAINING))
     assert tries.result() == Unknown(Reason.CONNECTION_LOST)
     assert tries.deadline_outcome() == Unknown(Reason.DEADLINE)
 
@@ -159,7 +159,7 @@
 def test_retries_end_with_the_budget():
     tries = attempts(repeatable=True, tokens=0.0)
     tries.next(upstreams(), 0.0)
-    assert not tries.ended(Unknown(Reason.CONNECTION_LOST))
+    assert not tries.finish_try(Unknown(Reason.CONNECTION_LOST))
 
 
 def test_a_budget_never_gives_more_than_its_share():
@@ -177,7 +177,7 @@
     waits = []
     while (one := tries.next(group, 0.0)) is not None:
         waits.append(one.max_wait)
-        if one.max_wait == ANY_WAIT or not tries.ended(NotRun(Reason.OVERLOADED)):
+        if one.max_wait == ANY_WAIT or not tries.finish_try(NotRun(Reason.OVERLOADED)):
             break
     assert waits[-1] == ANY_WAIT
 
@@ -203,9 +203,9 @@
     tries = routed(repeatable=False, tokens=1.0, max_attempts=5)
     group = upstreams()
     tries.next(group, 0.0)
-    assert tries.ended(NotRun(Reason.SHED))
+    assert tries.finish_try(NotRun(Reason.SHED))
     tries.next(group, 0.0)
-    assert not tries.ended(NotRun(Reason.SHED))
+    assert not tries.finish_try(NotRun(Reason.SHED))
     assert tries.result() == NotRun(Reason.SHED)
 
 
@@ -214,16 +214,16 @@
     group = upstreams()
     for _ in range(3):
         assert tries.next(group, 0.0) is not None
-        assert tries.ended(NotRun(Reason.DRAINING))
+        assert tries.finish_try(NotRun(Reason.DRAINING))
 
 
 def test_no_more_servers_are_reached_than_the_route_allows():
     tries = routed(tokens=20.0, max_attempts=2)
     group = upstreams()
     tries.next(group, 0.0)
-    assert tries.ended(Unknown(Reason.CONNECTION_LOST))
+    assert tries.finish_try(Unknown(Reason.CONNECTION_LOST))
     tries.next(group, 0.0)
-    assert not tries.ended(Unknown(Reason.CONNECTION_LOST))
+    assert not tries.finish_try(Unknown(Reason.CONNECTION_LOST))
 
 
 def test_a_servers_failure_is_replaced_only_if_the_call_may_run_again():
@@ -241,7 +241,7 @@
     tries = routed(tokens=20.0)
     (only,) = upstreams("a")
     assert tries.next([only], 0.0).max_wait == ANY_WAIT
-    assert not tries.ended(NotRun(Reason.OVERLOADED))
+    assert not tries.finish_try(NotRun(Reason.OVERLOADED))
 
 
 def test_after_its_bounces_a_call_goes_where_it_waits_least():
