--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -64,7 +64,7 @@
 @dataclass(frozen=True, slots=True)
 class Replaced(Unknown):
     """Outcome of a try whose answer had begun and was discarded in favour of a retry.
-    `Attempts.replace_answer` has already counted the try.
+    `Attempts.discard_answer` has already counted the try.
     """
 
 
@@ -120,7 +120,7 @@
             case Unknown():
                 return self._retry_after_unknown(outcome)
 
-    def replace_answer(self, status: int) -> bool:
+    def discard_answer(self, status: int) -> bool:
         """Decides whether to discard an answer with `status` that has begun and retry the call.
 
         If true, the current try has ended and the retry has been charged to the budget.
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -255,7 +255,7 @@
             if refusal.reason in _SERVER_TROUBLE:
                 peer.upstream.on_failure(self._clock(), self._rng)
             return refusal
-        if sending.attempts.replace_answer(response.head.status):
+        if sending.attempts.discard_answer(response.head.status):
             return REPLACED
         try:
             held = await response.body.read_up_to(self._settings.answer_hold)
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -99,7 +99,7 @@
             return
         self.tries.on_bytes_sent()
         self.may_have_run += 1
-        if not self.tries.replace_answer(status):
+        if not self.tries.discard_answer(status):
             self.is_over = not self.tries.finish_try(Answered(status))
 
     @rule()
@@ -227,12 +227,12 @@
 
 
 def test_a_servers_failure_is_replaced_only_if_the_call_may_run_again():
-    assert not routed(repeatable=False).replace_answer(500)
-    assert not routed(tokens=0.0).replace_answer(500)
-    assert not routed().replace_answer(404)
+    assert not routed(repeatable=False).discard_answer(500)
+    assert not routed(tokens=0.0).discard_answer(500)
+    assert not routed().discard_answer(404)
     tries = routed()
     tries.next(upstreams(), 0.0)
-    assert tries.replace_answer(500)
+    assert tries.discard_answer(500)
     # Were it all that was had, it may have run.
     assert tries.result() == Unknown(Reason.BACKEND_FAILED)
 
