--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -62,13 +62,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Replaced(Unknown):
+class AnswerDiscarded(Unknown):
     """Outcome of a try whose answer had begun and was discarded in favour of a retry.
     `Attempts.discard_answer` has already counted the try.
     """
 
 
-REPLACED = Replaced(Reason.BACKEND_FAILED)
+REPLACED = AnswerDiscarded(Reason.BACKEND_FAILED)
 
 
 @dataclass(slots=True)
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wheatslip.attempts import REPLACED, SERVER_ERROR, Attempts, Replaced, Try
+from wheatslip.attempts import REPLACED, SERVER_ERROR, AnswerDiscarded, Attempts, Try
 from wheatslip.budget import RetryBudgets
 from wheatslip.call import ANY_WAIT, Call, CallClass
 from wheatslip.chooser import Chooser
@@ -167,7 +167,7 @@
             outcome = await self._send(sending, chosen, peer)
             self._log_try(sending, chosen, outcome)
             sending.guard.on_outcome(outcome)
-            if isinstance(outcome, Replaced):
+            if isinstance(outcome, AnswerDiscarded):
                 continue  # the attempts have counted it, and paid for the next
             again = attempts.finish_try(outcome) and not sending.request.exchange.started
 
@@ -210,7 +210,9 @@
             left=round(sending.call.remaining(now), 3),
         )
 
-    async def _send(self, sending: _Sending, chosen: Try, peer: Peer) -> Outcome | Replaced:
+    async def _send(
+        self, sending: _Sending, chosen: Try, peer: Peer
+    ) -> Outcome | AnswerDiscarded:
         """One try, from its connection to its outcome."""
         kind = "first" if sending.attempts.tries == 1 else "retry"
         self._metrics.sends.inc({"service": sending.call.service, "try": kind})
@@ -238,7 +240,7 @@
 
     async def _exchange(
         self, sending: _Sending, chosen: Try, peer: Peer, connection: ClientConnection
-    ) -> Outcome | Replaced:
+    ) -> Outcome | AnswerDiscarded:
         sending.attempts.on_bytes_sent()
         try:
             await self._send_request(sending, chosen, connection)
