--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -68,7 +68,7 @@
     """
 
 
-REPLACED = AnswerDiscarded(Reason.BACKEND_FAILED)
+ANSWER_DISCARDED = AnswerDiscarded(Reason.BACKEND_FAILED)
 
 
 @dataclass(slots=True)
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wheatslip.attempts import REPLACED, SERVER_ERROR, AnswerDiscarded, Attempts, Try
+from wheatslip.attempts import ANSWER_DISCARDED, SERVER_ERROR, AnswerDiscarded, Attempts, Try
 from wheatslip.budget import RetryBudgets
 from wheatslip.call import ANY_WAIT, Call, CallClass
 from wheatslip.chooser import Chooser
@@ -258,7 +258,7 @@
                 peer.upstream.on_failure(self._clock(), self._rng)
             return refusal
         if sending.attempts.discard_answer(response.head.status):
-            return REPLACED
+            return ANSWER_DISCARDED
         try:
             held = await response.body.read_up_to(self._settings.answer_hold)
         except BodyBroken:
