--- a/packages/wheatslip/wheatslip/exposure.py
+++ b/packages/wheatslip/wheatslip/exposure.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exposed:
+class EndedRuns:
     """The suspects at the end of a server, and the number of exempt requests."""
 
     suspects: tuple[Run, ...]
@@ -82,7 +82,7 @@
         """No part of the request reached the server, or the server refused it."""
         self._running.pop(run, None)
 
-    def server_ended(self, now: float) -> Exposed:
+    def server_ended(self, now: float) -> EndedRuns:
         """Returns the requests that ran on the server when it ended, and clears all runs."""
         runs = [run for until, run in self._ended_unanswered if until >= now]
         runs += self._running
@@ -94,7 +94,7 @@
             # An answer exempts its request once: if the next server does not answer it either,
             # it is a suspect.
             del self._answers[fingerprint]
-        return Exposed(tuple(suspects.values()), len(answered))
+        return EndedRuns(tuple(suspects.values()), len(answered))
 
     def _was_answered(self, run: Run, now: float) -> bool:
         answered = self._answers.get(run.fingerprint)
--- a/packages/wheatslipd/wheatslipd/controllers/events.py
+++ b/packages/wheatslipd/wheatslipd/controllers/events.py
@@ -4,7 +4,7 @@
 from wheatslip.config.bundle import Bundle
 from wheatslip.config.head import Head
 from wheatslip.config.zonedrains import ZoneDrains
-from wheatslip.exposure import Exposed
+from wheatslip.exposure import EndedRuns
 from wheatslip.quarantine import EndReport
 from wheatslip.store.instances import Instance
 from wheatslip.store.registration import RegisteredServer
@@ -48,7 +48,7 @@
 class server_ended(Event):
     """The backend server beside us ended without notice, while it ran requests."""
 
-    def __init__(self, exposed: Exposed):
+    def __init__(self, exposed: EndedRuns):
         super().__init__(exposed)
 
 
--- a/packages/wheatslipd/wheatslipd/controllers/quarantine.py
+++ b/packages/wheatslipd/wheatslipd/controllers/quarantine.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from circuits import Component
-from wheatslip.exposure import Exposed
+from wheatslip.exposure import EndedRuns
 from wheatslip.quarantine import (
     MAX_REPORTED,
     EndReport,
@@ -49,7 +49,7 @@
         self._rng = rng
         self._unix = unix
 
-    def server_ended(self, exposed: Exposed) -> None:
+    def server_ended(self, exposed: EndedRuns) -> None:
         """The local server ended without notice, while it ran requests."""
         latest = exposed.suspects[-MAX_REPORTED:]
         if latest:
--- a/packages/wheatslipd/wheatslipd/gate/serverend.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverend.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from wheatslip.admission import ClosedBy
-from wheatslip.exposure import Exposed, Exposure
+from wheatslip.exposure import EndedRuns, Exposure
 
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.events import server_ended
@@ -82,7 +82,7 @@
             self._bus.fire(server_ended(exposed))
         self._gate.on_ended()
 
-    def _log(self, exposed: Exposed) -> None:
+    def _log(self, exposed: EndedRuns) -> None:
         logs.warning(
             "backend-ended",
             running=exposed.runs,
