--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from wheatslip.distribution.endlog import MAX_REPORTS, EndLog
-from wheatslip.exposure import MAX_ANSWERS, Exposure, Run
+from wheatslip.exposure import MAX_ANSWERS, Run, RunTracker
 from wheatslip.fingerprint import BODY_BYTES, request_fingerprint
 from wheatslip.quarantine import MAX_REPORTED, MAX_SUSPECTS, Quarantine, ServerEnd
 
@@ -51,7 +51,7 @@
 
 def gate_time(body: bytes) -> float:
     """What a gate does for each request: make its fingerprint, note its run and its answer."""
-    exposure = Exposure()
+    exposure = RunTracker()
     quarantine = Quarantine()
 
     def step(number: int) -> None:
@@ -92,9 +92,9 @@
     return log
 
 
-def full_exposure() -> Exposure:
+def full_exposure() -> RunTracker:
     """One that remembers as many answers as it does."""
-    exposure = Exposure()
+    exposure = RunTracker()
     for name in fingerprints(MAX_ANSWERS):
         run = Run(name, "papers", "view")
         exposure.begin(run)
--- a/packages/wheatslip/wheatslip/exposure.py
+++ b/packages/wheatslip/wheatslip/exposure.py
@@ -44,7 +44,7 @@
         return len(self.suspects) + self.answered_before
 
 
-class Exposure:
+class RunTracker:
     """The unanswered runs on one backend server. Times are in monotonic seconds."""
 
     def __init__(self) -> None:
--- a/packages/wheatslipd/wheatslipd/gate/serverend.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverend.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from wheatslip.admission import ClosedBy
-from wheatslip.exposure import EndedRuns, Exposure
+from wheatslip.exposure import EndedRuns, RunTracker
 
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.events import server_ended
@@ -40,7 +40,7 @@
         clock: Callable[[], float],
     ):
         """`clock` in seconds, monotonic."""
-        self.exposure = Exposure()
+        self.exposure = RunTracker()
         self._backend = backend
         self._gate = gate
         self._bus = bus
--- a/test/test_exposure.py
+++ b/test/test_exposure.py
@@ -4,8 +4,8 @@
     ANSWER_VALID_SECONDS,
     CALLER_LEFT_SECONDS,
     MAX_ANSWERS,
-    Exposure,
     Run,
+    RunTracker,
 )
 from wheatslip.fingerprint import BODY_BYTES, request_fingerprint
 from wheatslipd.http.identity import fingerprint_of
@@ -56,7 +56,7 @@
 
 
 def test_what_ran_on_a_server_that_ends_is_suspect_and_what_it_answered_is_not():
-    exposure = Exposure()
+    exposure = RunTracker()
     answered, running, broken, left, refused = map(run_of, "arblx")
     for one in (answered, running, broken, left, refused):
         exposure.begin(one)
@@ -70,7 +70,7 @@
 
 
 def test_what_left_long_before_the_end_did_not_end_the_server():
-    exposure = Exposure()
+    exposure = RunTracker()
     one = run_of("l")
     exposure.begin(one)
     exposure.left(one, 1.0)
@@ -78,7 +78,7 @@
 
 
 def test_an_answer_speaks_for_a_request_once_and_for_a_time():
-    exposure = Exposure()
+    exposure = RunTracker()
     for seconds in (0.0, 1.0):
         one = run_of("a")
         exposure.begin(one)
@@ -96,7 +96,7 @@
 
 
 def test_the_memory_of_answers_and_of_callers_that_left_is_bounded():
-    exposure = Exposure()
+    exposure = RunTracker()
     for number in range(3 * MAX_ANSWERS):
         answered, left = run_of(f"a{number}"), run_of(f"l{number}")
         exposure.begin(answered)
