--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -12,7 +12,7 @@
 import msgspec
 from wheatslip.distribution.endlog import MAX_REPORTS, EndLog
 from wheatslip.exposure import MAX_ANSWERS, Run, RunTracker
-from wheatslip.fingerprint import BODY_BYTES, request_fingerprint
+from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
 from wheatslip.quarantine import MAX_REPORTED, MAX_SUSPECTS, Quarantine, ServerEnd
 
 from bench.figures import Bound, Figure, add_record_option, report
@@ -122,7 +122,9 @@
         Figure(f"report of {SLOTS} requests", "B", [report_bytes(SLOTS)]),
         Figure(f"report of {MAX_REPORTED} requests", "B", [report_bytes(MAX_REPORTED)]),
         Figure("a request at the gate", "µs", [gate_time(b"") for _ in times], TIME_BOUND),
-        Figure("with 64 KiB of body", "µs", [gate_time(b"x" * BODY_BYTES) for _ in times]),
+        Figure(
+            "with 64 KiB of body", "µs", [gate_time(b"x" * HASHED_BODY_BYTES) for _ in times]
+        ),
         Figure("standing, full table", "µs", [standing_time() for _ in times], TIME_BOUND),
         Figure("full quarantine", "MB", [megabytes(full_quarantine)], MEMORY_BOUND),
         Figure("full log of reports", "MB", [megabytes(full_log)], MEMORY_BOUND),
--- a/packages/wheatslip/wheatslip/fingerprint.py
+++ b/packages/wheatslip/wheatslip/fingerprint.py
@@ -11,7 +11,7 @@
 
 # Only this beginning of a body is hashed. An entry buffers as much before it forwards a body,
 # so the fingerprint is known before a backend server gets the request.
-BODY_BYTES = 64 * 1024
+HASHED_BODY_BYTES = 64 * 1024
 DIGEST_BYTES = 9  # finding a second request with a given fingerprint takes about 2**72 tries
 _SEPARATOR = b"\0"  # cannot occur in a header or a request line
 
@@ -20,10 +20,10 @@
     owner: str, service: str, method: bytes, target: bytes, body: bytes
 ) -> str:
     """The fingerprint in hex. `owner` is the workspace, or the host if requests are routed by
-    host. Only the first `BODY_BYTES` of `body` are hashed.
+    host. Only the first `HASHED_BODY_BYTES` of `body` are hashed.
     """
     fields = (owner.encode(), service.encode(), method, target)
     digest = blake2b(_SEPARATOR.join(fields), digest_size=DIGEST_BYTES)
     digest.update(_SEPARATOR)
-    digest.update(body[:BODY_BYTES])
+    digest.update(body[:HASHED_BODY_BYTES])
     return digest.hexdigest()
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -13,7 +13,7 @@
 from wheatslip.backendload import decode_backend_load
 from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
 from wheatslip.exposure import Run
-from wheatslip.fingerprint import BODY_BYTES
+from wheatslip.fingerprint import HASHED_BODY_BYTES
 from wheatslip.hop import (
     FINGERPRINT_HEADER,
     HOP_HEADER,
@@ -351,7 +351,7 @@
     named = head.get(FINGERPRINT_HEADER)
     if named is not None:
         return named.decode("ascii", "replace")
-    body = exchange.body.peek(BODY_BYTES)
+    body = exchange.body.peek(HASHED_BODY_BYTES)
     return fingerprint_of(head, hop.workspace, hop.service, body)
 
 
--- a/test/test_exposure.py
+++ b/test/test_exposure.py
@@ -7,7 +7,7 @@
     Run,
     RunTracker,
 )
-from wheatslip.fingerprint import BODY_BYTES, request_fingerprint
+from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
 from wheatslipd.http.identity import fingerprint_of
 from wheatslipd.http.messages import RequestHead
 
@@ -50,7 +50,7 @@
 
 
 def test_of_a_long_body_the_beginning_counts():
-    begun = b"x" * BODY_BYTES
+    begun = b"x" * HASHED_BODY_BYTES
     whole = request_fingerprint("", "papers", METHOD, TARGET, begun + b"the rest")
     assert whole == request_fingerprint("", "papers", METHOD, TARGET, begun)
 
