--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -13,7 +13,7 @@
 from wheatslip.distribution.endlog import MAX_REPORTS, EndLog
 from wheatslip.exposure import MAX_ANSWERS, Run, RunTracker
 from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
-from wheatslip.quarantine import MAX_REPORTED, MAX_SUSPECTS, Quarantine, ServerEnd
+from wheatslip.quarantine import MAX_REPORTED_REQUESTS, MAX_SUSPECTS, Quarantine, ServerEnd
 
 from bench.figures import Bound, Figure, add_record_option, report
 
@@ -120,7 +120,11 @@
     times = range(REPETITIONS)
     figures = [
         Figure(f"report of {SLOTS} requests", "B", [report_bytes(SLOTS)]),
-        Figure(f"report of {MAX_REPORTED} requests", "B", [report_bytes(MAX_REPORTED)]),
+        Figure(
+            f"report of {MAX_REPORTED_REQUESTS} requests",
+            "B",
+            [report_bytes(MAX_REPORTED_REQUESTS)],
+        ),
         Figure("a request at the gate", "µs", [gate_time(b"") for _ in times], TIME_BOUND),
         Figure(
             "with 64 KiB of body", "µs", [gate_time(b"x" * HASHED_BODY_BYTES) for _ in times]
--- a/packages/wheatslip/wheatslip/quarantine.py
+++ b/packages/wheatslip/wheatslip/quarantine.py
@@ -30,7 +30,7 @@
 HOLD_AFTER_ENDS = 3
 # Time until a report expires, and so the longest hold without new ends.
 REPORT_SECONDS = 300.0
-MAX_REPORTED = 64  # requests reported for one end, the latest ones: about 1.3 kB
+MAX_REPORTED_REQUESTS = 64  # requests reported for one end, the latest ones: about 1.3 kB
 # Requests with records, about 300 bytes each. The record with the fewest ends is evicted, the
 # oldest of these first.
 MAX_SUSPECTS = 2048
--- a/packages/wheatslipd/wheatslipd/controllers/quarantine.py
+++ b/packages/wheatslipd/wheatslipd/controllers/quarantine.py
@@ -10,7 +10,7 @@
 from circuits import Component
 from wheatslip.exposure import EndedRuns
 from wheatslip.quarantine import (
-    MAX_REPORTED,
+    MAX_REPORTED_REQUESTS,
     EndReport,
     Lift,
     Quarantine,
@@ -51,7 +51,7 @@
 
     def server_ended(self, exposed: EndedRuns) -> None:
         """The local server ended without notice, while it ran requests."""
-        latest = exposed.suspects[-MAX_REPORTED:]
+        latest = exposed.suspects[-MAX_REPORTED_REQUESTS:]
         if latest:
             fingerprints = tuple(run.fingerprint for run in latest)
             self._report(ServerEnd(self._new_id(), self._unix(), self._pool, fingerprints))
