--- a/packages/wheatslip/wheatslip/quarantine.py
+++ b/packages/wheatslip/wheatslip/quarantine.py
@@ -29,7 +29,7 @@
 # 2: a harmless request can run beside the same harmful one twice before its gate is informed.
 HOLD_AFTER_ENDS = 3
 # Time until a report expires, and so the longest hold without new ends.
-REPORT_SECONDS = 300.0
+REPORT_TTL_SECONDS = 300.0
 MAX_REPORTED_REQUESTS = 64  # requests reported for one end, the latest ones: about 1.3 kB
 # Requests with records, about 300 bytes each. The record with the fewest ends is evicted, the
 # oldest of these first.
@@ -112,7 +112,7 @@
         if self.standing(fingerprint, now) is not Standing.HELD:
             return 0.0
         oldest = self._records[fingerprint].ends[-HOLD_AFTER_ENDS]
-        return oldest + REPORT_SECONDS - now
+        return oldest + REPORT_TTL_SECONDS - now
 
     def held(self, now: float) -> list[SuspectRecord]:
         fingerprints = list(self._records)
@@ -160,13 +160,13 @@
     @staticmethod
     def _drop_expired(record: SuspectRecord, now: float) -> bool:
         """Drops expired ends; returns whether any are left."""
-        record.ends = [since for since in record.ends if since > now - REPORT_SECONDS]
+        record.ends = [since for since in record.ends if since > now - REPORT_TTL_SECONDS]
         return bool(record.ends)
 
 
 def is_valid(report: EndReport, now: float) -> bool:
     """Whether a report has not expired."""
-    return report.since > now - REPORT_SECONDS
+    return report.since > now - REPORT_TTL_SECONDS
 
 
 def unexpired(reports: Iterable[EndReport], now: float) -> tuple[EndReport, ...]:
--- a/packages/wheatslipd/wheatslipd/feed/endstore.py
+++ b/packages/wheatslipd/wheatslipd/feed/endstore.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from result import Err, Ok
-from wheatslip.quarantine import REPORT_SECONDS, SERVER_ENDS_KIND, EndReport, unexpired
+from wheatslip.quarantine import REPORT_TTL_SECONDS, SERVER_ENDS_KIND, EndReport, unexpired
 from wheatslip.store.objects import Conflict, StoredObject, Unavailable
 
 from wheatslipd.feed.access import PlatformAccess, log_trouble
@@ -59,7 +59,7 @@
     async def _wait_for_change(self) -> None:
         """Wait for a new report, or until all that are kept have expired."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(REPORT_SECONDS if self._kept else None):
+            async with asyncio.timeout(REPORT_TTL_SECONDS if self._kept else None):
                 await self._changed.wait()
         self._changed.clear()
 
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -10,7 +10,7 @@
 from wheatslip.quarantine import (
     HOLD_AFTER_ENDS,
     MAX_SUSPECTS,
-    REPORT_SECONDS,
+    REPORT_TTL_SECONDS,
     Lift,
     Quarantine,
     ServerEnd,
@@ -53,8 +53,8 @@
 
 def test_a_hold_ends_by_itself_and_one_more_end_does_not_renew_it():
     quarantine = with_ends(HOLD_AFTER_ENDS)
-    assert quarantine.held_for("f", NOW) == REPORT_SECONDS
-    later = NOW + REPORT_SECONDS
+    assert quarantine.held_for("f", NOW) == REPORT_TTL_SECONDS
+    later = NOW + REPORT_TTL_SECONDS
     assert quarantine.held_for("f", later) == 0.0
     assert quarantine.standing("f", later) is Standing.FREE
     assert len(quarantine) == 0
@@ -76,12 +76,12 @@
     quarantine = Quarantine()
     for number in range(HOLD_AFTER_ENDS):
         quarantine.take(end(number, "f", since=NOW + 3600), NOW)
-    assert quarantine.held_for("f", NOW) == REPORT_SECONDS
+    assert quarantine.held_for("f", NOW) == REPORT_TTL_SECONDS
 
 
 def test_reports_that_are_too_old_do_not_count():
     quarantine = Quarantine()
-    quarantine.take(end(1, "f", since=NOW - REPORT_SECONDS), NOW)
+    quarantine.take(end(1, "f", since=NOW - REPORT_TTL_SECONDS), NOW)
     assert len(quarantine) == 0
 
 
@@ -124,8 +124,8 @@
     assert log.after(0) == (first, second)
     assert log.after(1) == (second,) and log.after(2) == ()
     assert log.after(0, exclude_source="a") == (second,)
-    assert not log.add(end(3, "f", since=NOW - REPORT_SECONDS), "a", NOW)
-    log.add(end(4, "f", since=NOW + REPORT_SECONDS), "a", NOW + REPORT_SECONDS)
+    assert not log.add(end(3, "f", since=NOW - REPORT_TTL_SECONDS), "a", NOW)
+    log.add(end(4, "f", since=NOW + REPORT_TTL_SECONDS), "a", NOW + REPORT_TTL_SECONDS)
     assert len(log.after(0)) == 1
 
 
@@ -199,7 +199,7 @@
         assert await first is None
         refusal = await second
         assert refusal.reason is Reason.ENDS_SERVERS
-        assert refusal.retry_after == REPORT_SECONDS
+        assert refusal.retry_after == REPORT_TTL_SECONDS
         assert (await place.pass_through("g")).reason is Reason.ENDS_SERVERS
 
     run(scenario)
