--- a/packages/wheatslip/wheatslip/quarantine.py
+++ b/packages/wheatslip/wheatslip/quarantine.py
@@ -169,5 +169,5 @@
     return report.since > now - REPORT_TTL_SECONDS
 
 
-def unexpired(reports: Iterable[EndReport], now: float) -> tuple[EndReport, ...]:
+def unexpired_reports(reports: Iterable[EndReport], now: float) -> tuple[EndReport, ...]:
     return tuple(report for report in reports if is_valid(report, now))
--- a/packages/wheatslipd/wheatslipd/feed/endstore.py
+++ b/packages/wheatslipd/wheatslipd/feed/endstore.py
@@ -11,7 +11,12 @@
 
 import msgspec
 from result import Err, Ok
-from wheatslip.quarantine import REPORT_TTL_SECONDS, SERVER_ENDS_KIND, EndReport, unexpired
+from wheatslip.quarantine import (
+    REPORT_TTL_SECONDS,
+    SERVER_ENDS_KIND,
+    EndReport,
+    unexpired_reports,
+)
 from wheatslip.store.objects import Conflict, StoredObject, Unavailable
 
 from wheatslipd.feed.access import PlatformAccess, log_trouble
@@ -89,7 +94,7 @@
 
     async def _write(self) -> bool:
         """Let the platform hold what is kept here; False if that should be tried again."""
-        self._kept = unexpired(self._kept, self._unix())
+        self._kept = unexpired_reports(self._kept, self._unix())
         if not self._kept:
             return await self._delete()
         value = StoredEnds(self._kept)
