--- a/packages/wheatslip/wheatslip/owners.py
+++ b/packages/wheatslip/wheatslip/owners.py
@@ -57,7 +57,7 @@
         """Whether an owner whose list was last checked at `checked` may act at `now`."""
         return now - checked <= OWNER_LEASE_SECONDS
 
-    def safe_since(self, key: str, name: str) -> float | None:
+    def exclusive_since(self, key: str, name: str) -> float | None:
         """Unix time such that no former owner can have run a key created later; None if `name`
         does not own `key`.
         """
--- a/packages/wheatslipd/wheatslipd/gate/keyguard.py
+++ b/packages/wheatslipd/wheatslipd/gate/keyguard.py
@@ -28,10 +28,10 @@
         if not self.owners.is_lease_held(self.list_checked(), now):
             # We may have been frozen or cut off, and another may own the key by now.
             return LEASE_LAPSED
-        safe_since = self.owners.safe_since(call.owned_key, self.name)
-        if safe_since is None:
+        exclusive_since = self.owners.exclusive_since(call.owned_key, self.name)
+        if exclusive_since is None:
             return NOT_KEY_OWNER
-        claim = self.ledger.claim(call.workspace, call.key, safe_since, now)
+        claim = self.ledger.claim(call.workspace, call.key, exclusive_since, now)
         match claim.state:
             case KeyState.FROM_THE_FUTURE:
                 return NotRun(Reason.BAD_REQUEST)
--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -102,8 +102,8 @@
     # The frozen owner last saw the list just before it was unlisted, by a slow clock.
     acts_until = 200.0 + DAEMON_CLOCK_SKEW_SECONDS + OWNER_LEASE_SECONDS
     assert not frozen.is_lease_held(checked=200.0, now=acts_until)
-    assert heir.safe_since(key, "b") >= acts_until
-    assert heir.safe_since(key, "a") is None
+    assert heir.exclusive_since(key, "b") >= acts_until
+    assert heir.exclusive_since(key, "a") is None
 
 
 def test_owned_since_is_the_start_of_the_unbroken_time():
