--- a/packages/wheatslip/wheatslip/resting.py
+++ b/packages/wheatslip/wheatslip/resting.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class RestLimit:
+class IdleLimit:
     """The longest idle time allowed for connections to one backend server."""
 
     _max_idle: float = float("inf")
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from wheatslip.outcome import NotRun, Reason, Unknown
-from wheatslip.resting import RestLimit
+from wheatslip.resting import IdleLimit
 from wheatslip.retryafter import NO_CONNECTION
 
 from wheatslipd.http.body import Body, BodyBroken
@@ -34,7 +34,7 @@
         self._port = port
         self._pool = ConnectionPool(address, port, connections)
         self._connect_timeout = connect_timeout
-        self._resting = RestLimit()
+        self._resting = IdleLimit()
 
     async def send(
         self,
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -4,7 +4,7 @@
 import errno
 
 from wheatslip.outcome import Unknown
-from wheatslip.resting import LIMIT_VALID_SECONDS, RestLimit
+from wheatslip.resting import LIMIT_VALID_SECONDS, IdleLimit
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.http.body import Body
 from wheatslipd.http.client import PROBE_SECONDS
@@ -19,7 +19,7 @@
 
 
 def test_a_reset_bounds_the_rest_that_is_trusted_for_a_while():
-    limit = RestLimit()
+    limit = IdleLimit()
     assert limit.trusted(0.0) == float("inf")
     limit.on_reset(0.3, 1.0)
     assert limit.trusted(1.0) == 0.15
@@ -27,14 +27,14 @@
 
 
 def test_the_shortest_rest_that_ended_in_a_reset_counts():
-    limit = RestLimit()
+    limit = IdleLimit()
     limit.on_reset(0.2, 1.0)
     limit.on_reset(2.0, 2.0)
     assert limit.trusted(2.0) == 0.1
 
 
 def test_a_reset_of_a_connection_that_was_just_used_tells_nothing():
-    limit = RestLimit()
+    limit = IdleLimit()
     limit.on_reset(0.0, 1.0)
     assert limit.trusted(1.0) == float("inf")
 
