--- a/packages/wheatslip/wheatslip/resting.py
+++ b/packages/wheatslip/wheatslip/resting.py
@@ -25,9 +25,9 @@
         """A request was reset on a connection that had been idle for `idle_seconds` seconds."""
         if idle_seconds < MIN_IDLE_SECONDS:
             return
-        self._max_idle = min(self.trusted(now), IDLE_FRACTION * idle_seconds)
+        self._max_idle = min(self.max_idle(now), IDLE_FRACTION * idle_seconds)
         self._learned_at = now
 
-    def trusted(self, now: float) -> float:
+    def max_idle(self, now: float) -> float:
         """The longest idle time after which a connection may be reused; `inf`: unlimited."""
         return self._max_idle if now - self._learned_at < LIMIT_VALID_SECONDS else float("inf")
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -52,7 +52,7 @@
         """
         now = asyncio.get_running_loop().time()
         timeout = max(self._connect_timeout, connect_timeout)
-        connection = await self._pool.take(timeout, self._resting.trusted(now))
+        connection = await self._pool.take(timeout, self._resting.max_idle(now))
         if connection is None:
             return NO_CONNECTION
         on_connected()
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -20,23 +20,23 @@
 
 def test_a_reset_bounds_the_rest_that_is_trusted_for_a_while():
     limit = IdleLimit()
-    assert limit.trusted(0.0) == float("inf")
+    assert limit.max_idle(0.0) == float("inf")
     limit.on_reset(0.3, 1.0)
-    assert limit.trusted(1.0) == 0.15
-    assert limit.trusted(1.0 + LIMIT_VALID_SECONDS) == float("inf")
+    assert limit.max_idle(1.0) == 0.15
+    assert limit.max_idle(1.0 + LIMIT_VALID_SECONDS) == float("inf")
 
 
 def test_the_shortest_rest_that_ended_in_a_reset_counts():
     limit = IdleLimit()
     limit.on_reset(0.2, 1.0)
     limit.on_reset(2.0, 2.0)
-    assert limit.trusted(2.0) == 0.1
+    assert limit.max_idle(2.0) == 0.1
 
 
 def test_a_reset_of_a_connection_that_was_just_used_tells_nothing():
     limit = IdleLimit()
     limit.on_reset(0.0, 1.0)
-    assert limit.trusted(1.0) == float("inf")
+    assert limit.max_idle(1.0) == float("inf")
 
 
 class ForgetfulServer:
