--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from wheatslip.idlelimit import IdleLimit
 from wheatslip.outcome import NotRun, Reason, Unknown
-from wheatslip.resting import IdleLimit
 from wheatslip.retryafter import NO_CONNECTION
 
 from wheatslipd.http.body import Body, BodyBroken
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -3,8 +3,8 @@
 import asyncio
 import errno
 
+from wheatslip.idlelimit import LIMIT_VALID_SECONDS, IdleLimit
 from wheatslip.outcome import Unknown
-from wheatslip.resting import LIMIT_VALID_SECONDS, IdleLimit
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.http.body import Body
 from wheatslipd.http.client import PROBE_SECONDS
