--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -11,9 +11,9 @@
 
 import msgspec
 from wheatslip.distribution.endlog import MAX_REPORTS, EndLog
-from wheatslip.exposure import MAX_ANSWERS, Run, RunTracker
 from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
 from wheatslip.quarantine import MAX_REPORTED_REQUESTS, MAX_SUSPECTS, Quarantine, ServerEnd
+from wheatslip.runtracker import MAX_ANSWERS, Run, RunTracker
 
 from bench.figures import Bound, Figure, add_record_option, report
 
--- a/packages/wheatslipd/wheatslipd/controllers/events.py
+++ b/packages/wheatslipd/wheatslipd/controllers/events.py
@@ -4,8 +4,8 @@
 from wheatslip.config.bundle import Bundle
 from wheatslip.config.head import Head
 from wheatslip.config.zonedrains import ZoneDrains
-from wheatslip.exposure import EndedRuns
 from wheatslip.quarantine import EndReport
+from wheatslip.runtracker import EndedRuns
 from wheatslip.store.instances import Instance
 from wheatslip.store.registration import RegisteredServer
 
--- a/packages/wheatslipd/wheatslipd/controllers/quarantine.py
+++ b/packages/wheatslipd/wheatslipd/controllers/quarantine.py
@@ -8,7 +8,6 @@
 from random import Random
 
 from circuits import Component
-from wheatslip.exposure import EndedRuns
 from wheatslip.quarantine import (
     MAX_REPORTED_REQUESTS,
     EndReport,
@@ -16,6 +15,7 @@
     Quarantine,
     ServerEnd,
 )
+from wheatslip.runtracker import EndedRuns
 
 from wheatslipd.telemetry import logs
 
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -12,7 +12,6 @@
 from wheatslip.attempts import SERVER_ERROR
 from wheatslip.backendload import decode_backend_load
 from wheatslip.call import ANY_WAIT, Call, CallClass, RequestKind
-from wheatslip.exposure import Run
 from wheatslip.fingerprint import HASHED_BODY_BYTES
 from wheatslip.hop import (
     FINGERPRINT_HEADER,
@@ -27,6 +26,7 @@
 from wheatslip.ledger import Claim, KeptAnswer, KeyState, key_time
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from wheatslip.retryafter import TURNED_AWAY
+from wheatslip.runtracker import Run
 
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
--- a/packages/wheatslipd/wheatslipd/gate/serverend.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverend.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from wheatslip.admission import ClosedBy
-from wheatslip.exposure import EndedRuns, RunTracker
+from wheatslip.runtracker import EndedRuns, RunTracker
 
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.events import server_ended
--- a/test/test_exposure.py
+++ b/test/test_exposure.py
@@ -1,13 +1,13 @@
 """Which requests count as running on a backend server that ends."""
 
-from wheatslip.exposure import (
+from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
+from wheatslip.runtracker import (
     ANSWER_VALID_SECONDS,
     CALLER_LEFT_SECONDS,
     MAX_ANSWERS,
     Run,
     RunTracker,
 )
-from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
 from wheatslipd.http.identity import fingerprint_of
 from wheatslipd.http.messages import RequestHead
 
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wheatslip.admission import Admission, AdmissionSettings
-from wheatslip.exposure import Run
+from wheatslip.runtracker import Run
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.view import View
 from wheatslipd.gate.backend import Backend
