--- a/test/test_forms.py
+++ b/test/test_forms.py
@@ -35,7 +35,8 @@
 from wheatslip.config.head import Head
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.zonedrains import StoredDrain, decode_drain
-from wheatslip.distribution.chunks import Chunk, Joiner, split_message
+from wheatslip.distribution.chunks import Chunk, Joiner
+from wheatslip.distribution.chunks import split_message as cut
 from wheatslip.distribution.feedcache import Cursor, Update
 from wheatslip.hop import decode_hop, decode_load, decode_refusal, encode, encode_outcome
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
@@ -143,7 +144,7 @@
     count = int(text)
     message = bytes(count // 2) + Random(SEED).randbytes(count - count // 2)
     joiner, codec, found = Joiner(), StructCodec(), []
-    for piece in split_message(message):
+    for piece in cut(message):
         joined = joiner.add(piece).unwrap()
         data = codec.encode(piece, Chunk)
         found.append(data.hex() if len(data) < 100 else digest(data))
