--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -11,9 +11,9 @@
 
 import msgspec
 from wheatslip.distribution.endlog import MAX_REPORTS, EndLog
-from wheatslip.exposure import MAX_ANSWERS, Exposure, Run
-from wheatslip.fingerprint import BODY_BYTES, request_fingerprint
-from wheatslip.quarantine import MAX_REPORTED, MAX_SUSPECTS, Quarantine, ServerEnd
+from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
+from wheatslip.quarantine import MAX_REPORTED_REQUESTS, MAX_SUSPECTS, Quarantine, ServerEnd
+from wheatslip.runtracker import MAX_ANSWERS, Run, RunTracker
 
 from bench.figures import Bound, Figure, add_record_option, report
 
@@ -51,7 +51,7 @@
 
 def gate_time(body: bytes) -> float:
     """What a gate does for each request: make its fingerprint, note its run and its answer."""
-    exposure = Exposure()
+    exposure = RunTracker()
     quarantine = Quarantine()
 
     def step(number: int) -> None:
@@ -92,9 +92,9 @@
     return log
 
 
-def full_exposure() -> Exposure:
+def full_exposure() -> RunTracker:
     """One that remembers as many answers as it does."""
-    exposure = Exposure()
+    exposure = RunTracker()
     for name in fingerprints(MAX_ANSWERS):
         run = Run(name, "papers", "view")
         exposure.begin(run)
@@ -120,9 +120,15 @@
     times = range(REPETITIONS)
     figures = [
         Figure(f"report of {SLOTS} requests", "B", [report_bytes(SLOTS)]),
-        Figure(f"report of {MAX_REPORTED} requests", "B", [report_bytes(MAX_REPORTED)]),
+        Figure(
+            f"report of {MAX_REPORTED_REQUESTS} requests",
+            "B",
+            [report_bytes(MAX_REPORTED_REQUESTS)],
+        ),
         Figure("a request at the gate", "µs", [gate_time(b"") for _ in times], TIME_BOUND),
-        Figure("with 64 KiB of body", "µs", [gate_time(b"x" * BODY_BYTES) for _ in times]),
+        Figure(
+            "with 64 KiB of body", "µs", [gate_time(b"x" * HASHED_BODY_BYTES) for _ in times]
+        ),
         Figure("standing, full table", "µs", [standing_time() for _ in times], TIME_BOUND),
         Figure("full quarantine", "MB", [megabytes(full_quarantine)], MEMORY_BOUND),
         Figure("full log of reports", "MB", [megabytes(full_log)], MEMORY_BOUND),
--- a/packages/wheatslipd/wheatslipd/controllers/events.py
+++ b/packages/wheatslipd/wheatslipd/controllers/events.py
@@ -4,10 +4,10 @@
 from wheatslip.config.bundle import Bundle
 from wheatslip.config.head import Head
 from wheatslip.config.zonedrains import ZoneDrains
-from wheatslip.exposure import Exposed
 from wheatslip.quarantine import EndReport
+from wheatslip.runtracker import EndedRuns
 from wheatslip.store.instances import Instance
-from wheatslip.store.registration import Registered
+from wheatslip.store.registration import RegisteredServer
 
 
 class newer_version_seen(Event):
@@ -48,7 +48,7 @@
 class server_ended(Event):
     """The backend server beside us ended without notice, while it ran requests."""
 
-    def __init__(self, exposed: Exposed):
+    def __init__(self, exposed: EndedRuns):
         super().__init__(exposed)
 
 
@@ -62,7 +62,7 @@
 class backend_registered(Event):
     """The backend server beside us registered, or changed what it says of itself."""
 
-    def __init__(self, registered: Registered):
+    def __init__(self, registered: RegisteredServer):
         super().__init__(registered)
 
 
--- a/packages/wheatslipd/wheatslipd/controllers/quarantine.py
+++ b/packages/wheatslipd/wheatslipd/controllers/quarantine.py
@@ -8,14 +8,14 @@
 from random import Random
 
 from circuits import Component
-from wheatslip.exposure import Exposed
 from wheatslip.quarantine import (
-    MAX_REPORTED,
+    MAX_REPORTED_REQUESTS,
     EndReport,
     Lift,
     Quarantine,
     ServerEnd,
 )
+from wheatslip.runtracker import EndedRuns
 
 from wheatslipd.telemetry import logs
 
@@ -49,9 +49,9 @@
         self._rng = rng
         self._unix = unix
 
-    def server_ended(self, exposed: Exposed) -> None:
+    def server_ended(self, exposed: EndedRuns) -> None:
         """The local server ended without notice, while it ran requests."""
-        latest = exposed.suspects[-MAX_REPORTED:]
+        latest = exposed.suspects[-MAX_REPORTED_REQUESTS:]
         if latest:
             fingerprints = tuple(run.fingerprint for run in latest)
             self._report(ServerEnd(self._new_id(), self._unix(), self._pool, fingerprints))
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wheatslip.attempts import REPLACED, SERVER_ERROR, Attempts, Replaced, Try
+from wheatslip.attempts import ANSWER_DISCARDED, SERVER_ERROR, AnswerDiscarded, Attempts, Try
 from wheatslip.budget import RetryBudgets
 from wheatslip.call import UNLIMITED, Call, CallClass
 from wheatslip.chooser import Chooser
@@ -127,7 +127,7 @@
                     return NotRun(Reason.BAD_REQUEST)
                 await self._try_all(sending)
         except TimeoutError:
-            return attempts.expired()
+            return attempts.deadline_outcome()
         return attempts.result()
 
     async def _prepare(
@@ -167,9 +167,9 @@
             outcome = await self._send(sending, chosen, peer)
             self._log_try(sending, chosen, outcome)
             sending.guard.on_outcome(outcome)
-            if isinstance(outcome, Replaced):
+            if isinstance(outcome, AnswerDiscarded):
                 continue  # the attempts have counted it, and paid for the next
-            again = attempts.ended(outcome) and not sending.request.exchange.started
+            again = attempts.finish_try(outcome) and not sending.request.exchange.started
 
     @staticmethod
     def _log_held(sending: _Sending) -> None:
@@ -210,7 +210,9 @@
             left=round(sending.call.remaining(now), 3),
         )
 
-    async def _send(self, sending: _Sending, chosen: Try, peer: Peer) -> Outcome | Replaced:
+    async def _send(
+        self, sending: _Sending, chosen: Try, peer: Peer
+    ) -> Outcome | AnswerDiscarded:
         """One try, from its connection to its outcome."""
         kind = "first" if sending.attempts.tries == 1 else "retry"
         self._metrics.sends.inc({"service": sending.call.service, "try": kind})
@@ -238,7 +240,7 @@
 
     async def _exchange(
         self, sending: _Sending, chosen: Try, peer: Peer, connection: ClientConnection
-    ) -> Outcome | Replaced:
+    ) -> Outcome | AnswerDiscarded:
         sending.attempts.on_bytes_sent()
         try:
             await self._send_request(sending, chosen, connection)
@@ -255,8 +257,8 @@
             if refusal.reason in _SERVER_TROUBLE:
                 peer.upstream.on_failure(self._clock(), self._rng)
             return refusal
-        if sending.attempts.replace_answer(response.head.status):
-            return REPLACED
+        if sending.attempts.discard_answer(response.head.status):
+            return ANSWER_DISCARDED
         try:
             held = await response.body.read_up_to(self._settings.answer_hold)
         except BodyBroken:
--- a/packages/wheatslipd/wheatslipd/feed/intake.py
+++ b/packages/wheatslipd/wheatslipd/feed/intake.py
@@ -113,7 +113,7 @@
             self.take_ends(update.ends, source)
         if update.drains is not None:
             self._take_drains(update.drains)
-        if (update.whole or update.changes) and not self.cache.is_late(update):
+        if (update.whole or update.changes) and not self.cache.is_outdated(update):
             self._take_list(update.listed, list(update.changes), whole=update.whole)
         self.cache.checked = max(self.cache.checked, update.checked)
         if update.as_of > self.cache.as_of:
@@ -132,7 +132,7 @@
 
     def take_deltas(self, head: Head, deltas: tuple[BundleDelta, ...]) -> None:
         """Take differences that should lead to the bundle of `head`."""
-        bundle = self.cache.with_deltas(deltas)
+        bundle = self.cache.bundle_after_deltas(deltas)
         if bundle is None:
             logs.warning("delta-does-not-fit", version=head.version)
             self._on_gap(head.version)
@@ -150,7 +150,7 @@
         self._take_signed(head, signed)
 
     def _take_list(self, listed: int, changes: list[ListChange], *, whole: bool) -> None:
-        changes = self.cache.take_list(listed, changes, whole=whole)
+        changes = self.cache.apply_list(listed, changes, whole=whole)
         present = tuple(c.instance for c in changes if c.instance is not None)
         gone = tuple(c.name for c in changes if c.instance is None)
         if whole or changes:
@@ -159,7 +159,7 @@
         self._relay.announce()
 
     def _take_drains(self, drains: ZoneDrains) -> None:
-        if self.cache.take_drains(drains):
+        if self.cache.store_drains(drains):
             self._relay.announce()
             self._bus.fire(zones_drained(drains))
 
@@ -183,7 +183,7 @@
         """Check a bundle, whichever way it came, and put it in force."""
         match self._proof.bundle(signed):
             case Ok(bundle) if _is_named_by(bundle, head):
-                self.cache.take_bundle(head, signed, bundle)
+                self.cache.store_bundle(head, signed, bundle)
                 self._relay.announce()
                 self._bus.fire(bundle_verified(bundle, head))
             case Ok(_):
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from wheatslip.idlelimit import IdleLimit
 from wheatslip.outcome import NotRun, Reason, Unknown
-from wheatslip.resting import RestLimit
 from wheatslip.retryafter import NO_CONNECTION
 
 from wheatslipd.http.body import Body, BodyBroken
@@ -34,7 +34,7 @@
         self._port = port
         self._pool = ConnectionPool(address, port, connections)
         self._connect_timeout = connect_timeout
-        self._resting = RestLimit()
+        self._resting = IdleLimit()
 
     async def send(
         self,
@@ -52,7 +52,7 @@
         """
         now = asyncio.get_running_loop().time()
         timeout = max(self._connect_timeout, connect_timeout)
-        connection = await self._pool.take(timeout, self._resting.trusted(now))
+        connection = await self._pool.take(timeout, self._resting.max_idle(now))
         if connection is None:
             return NO_CONNECTION
         on_connected()
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -12,8 +12,7 @@
 from wheatslip.attempts import SERVER_ERROR
 from wheatslip.backendload import decode_backend_load
 from wheatslip.call import UNLIMITED, Call, CallClass, RequestKind
-from wheatslip.exposure import Run
-from wheatslip.fingerprint import BODY_BYTES
+from wheatslip.fingerprint import HASHED_BODY_BYTES
 from wheatslip.hop import (
     FINGERPRINT_HEADER,
     HOP_HEADER,
@@ -27,6 +26,7 @@
 from wheatslip.ledger import Claim, KeptAnswer, KeyState, key_time
 from wheatslip.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from wheatslip.retryafter import SHED_BY_SERVER
+from wheatslip.runtracker import Run
 
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
@@ -351,7 +351,7 @@
     named = head.get(FINGERPRINT_HEADER)
     if named is not None:
         return named.decode("ascii", "replace")
-    body = exchange.body.peek(BODY_BYTES)
+    body = exchange.body.peek(HASHED_BODY_BYTES)
     return fingerprint_of(head, hop.workspace, hop.service, body)
 
 
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -10,7 +10,7 @@
 
 import msgspec
 from wheatslip.backendload import BackendLoad, decode_backend_load
-from wheatslip.store.registration import Heartbeat, Registered, Registration
+from wheatslip.store.registration import Heartbeat, RegisteredServer, Registration
 
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.events import backend_registered
@@ -52,7 +52,7 @@
         bus: Bus,
         clock: Callable[[], float],
         on_load: Callable[[BackendLoad], None],
-        on_beat: Callable[[Registered], None],
+        on_beat: Callable[[RegisteredServer], None],
         health_path: str,
         decode: HeartbeatDecoder = decode_heartbeat,
     ):
@@ -82,7 +82,7 @@
         except BodyBroken:
             return
         if head.method == b"DELETE":
-            self._apply(self._registration.on_goodbye(server))
+            self._apply(self._registration.on_deregistration(server))
             await exchange.respond(ResponseHead(200))
             return
         beat = self._decode(body) if head.method == b"PUT" else None
@@ -131,10 +131,12 @@
         if not server or (load is None and not self._registration.is_disputed):
             return
         slots = load.slots if load is not None else 0
-        well = found.status == GOOD
+        is_healthy = found.status == GOOD
         remaining = cold_remaining(found, self._names.cold)
         warm_at = None if remaining is None else self._clock() + remaining
-        self._apply(self._registration.on_health(server, slots, well=well, warm_at=warm_at))
+        self._apply(
+            self._registration.on_health(server, slots, is_healthy=is_healthy, warm_at=warm_at)
+        )
         if load is not None:
             self._on_load(load)
 
--- a/test/test_exposure.py
+++ b/test/test_exposure.py
@@ -1,7 +1,13 @@
 """Which requests count as running on a backend server that ends."""
 
-from wheatslip.exposure import ANSWER_SECONDS, LEFT_SECONDS, MAX_ANSWERS, Exposure, Run
-from wheatslip.fingerprint import BODY_BYTES, request_fingerprint
+from wheatslip.fingerprint import HASHED_BODY_BYTES, request_fingerprint
+from wheatslip.runtracker import (
+    ANSWER_VALID_SECONDS,
+    CALLER_LEFT_SECONDS,
+    MAX_ANSWERS,
+    Run,
+    RunTracker,
+)
 from wheatslipd.http.identity import fingerprint_of
 from wheatslipd.http.messages import RequestHead
 
@@ -44,13 +50,13 @@
 
 
 def test_of_a_long_body_the_beginning_counts():
-    begun = b"x" * BODY_BYTES
+    begun = b"x" * HASHED_BODY_BYTES
     whole = request_fingerprint("", "papers", METHOD, TARGET, begun + b"the rest")
     assert whole == request_fingerprint("", "papers", METHOD, TARGET, begun)
 
 
 def test_what_ran_on_a_server_that_ends_is_suspect_and_what_it_answered_is_not():
-    exposure = Exposure()
+    exposure = RunTracker()
     answered, running, broken, left, refused = map(run_of, "arblx")
     for one in (answered, running, broken, left, refused):
         exposure.begin(one)
@@ -64,15 +70,15 @@
 
 
 def test_what_left_long_before_the_end_did_not_end_the_server():
-    exposure = Exposure()
+    exposure = RunTracker()
     one = run_of("l")
     exposure.begin(one)
     exposure.left(one, 1.0)
-    assert exposure.server_ended(1.1 + LEFT_SECONDS).runs == 0
+    assert exposure.server_ended(1.1 + CALLER_LEFT_SECONDS).runs == 0
 
 
 def test_an_answer_speaks_for_a_request_once_and_for_a_time():
-    exposure = Exposure()
+    exposure = RunTracker()
     for seconds in (0.0, 1.0):
         one = run_of("a")
         exposure.begin(one)
@@ -86,11 +92,11 @@
     exposure.begin(again)
     exposure.answered(again, 2.0)
     exposure.begin(run_of("a"))
-    assert suspects(exposure.server_ended(2.1 + ANSWER_SECONDS)) == ["a"]
+    assert suspects(exposure.server_ended(2.1 + ANSWER_VALID_SECONDS)) == ["a"]
 
 
 def test_the_memory_of_answers_and_of_callers_that_left_is_bounded():
-    exposure = Exposure()
+    exposure = RunTracker()
     for number in range(3 * MAX_ANSWERS):
         answered, left = run_of(f"a{number}"), run_of(f"l{number}")
         exposure.begin(answered)
--- a/test/test_forms.py
+++ b/test/test_forms.py
@@ -35,7 +35,8 @@
 from wheatslip.config.head import Head
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.zonedrains import StoredDrain, decode_drain
-from wheatslip.distribution.chunks import Chunk, Joiner, cut
+from wheatslip.distribution.chunks import Chunk, Joiner
+from wheatslip.distribution.chunks import split_message as cut
 from wheatslip.distribution.feedcache import Cursor, Update
 from wheatslip.hop import decode_hop, decode_load, decode_refusal, encode, encode_outcome
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
--- a/test/test_registration.py
+++ b/test/test_registration.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from wheatslip.store.registration import (
-    CLAIM_SECONDS,
-    MAX_RETIRED,
+    CLAIM_CONFIRM_SECONDS,
+    MAX_RETIRED_IDS,
     Heartbeat,
     Registration,
     ServerState,
@@ -46,7 +46,7 @@
 
 def test_a_goodbye_counts_without_a_heartbeat_before_it():
     one = registration()
-    assert not one.on_goodbye("a")
+    assert not one.on_deregistration("a")
     assert not one.on_heartbeat("a", beat(1), 0.0)
     assert one.current is None
 
@@ -55,16 +55,16 @@
     one = registration()
     one.on_heartbeat("a", beat(5), 0.0)
     assert not one.on_heartbeat("b", beat(1), 1.0) and one.is_disputed
-    assert one.on_health("b", 12, well=False) and not one.is_disputed
+    assert one.on_health("b", 12, is_healthy=False) and not one.is_disputed
     assert one.current.server == "b"
     assert not one.on_heartbeat("a", beat(6), 1.1)
-    assert not one.on_goodbye("a")
+    assert not one.on_deregistration("a")
     assert one.current.server == "b" and not one.current.leaving
 
 
 def test_a_late_draining_word_of_the_server_before_spares_the_present_one():
     one = registration()
-    one.on_health("b", 12, well=True)
+    one.on_health("b", 12, is_healthy=True)
     assert not one.on_heartbeat("a", beat(9, ServerState.LEAVING), 0.0)
     assert one.current.server == "b" and not one.current.leaving
 
@@ -76,10 +76,10 @@
         if by_heartbeat:
             one.on_heartbeat("b", beat(1), 0.0)
         else:
-            one.on_health("b", 12, well=True)
+            one.on_health("b", 12, is_healthy=True)
         assert not one.on_heartbeat("a", beat(9), 0.5)
         assert one.current.server == "b" and one.is_disputed
-        assert not one.on_health("b", 12, well=True)
+        assert not one.on_health("b", 12, is_healthy=True)
         assert one.current.server == "b" and not one.is_disputed
         assert not one.on_heartbeat("a", beat(10), 2.5)
         one.on_heartbeat("b", beat(2), 2.6)
@@ -98,25 +98,25 @@
     one = registration()
     one.on_heartbeat("a", beat(5), 0.0)
     assert not one.on_heartbeat("b", beat(1), 1.0)
-    assert one.on_heartbeat("b", beat(2), 1.0 + CLAIM_SECONDS)
+    assert one.on_heartbeat("b", beat(2), 1.0 + CLAIM_CONFIRM_SECONDS)
     assert one.current.server == "b" and not one.is_disputed
     assert not one.on_heartbeat("a", beat(6), 3.0)
 
 
 def test_health_tells_who_is_there_only_until_a_heartbeat():
     one = registration()
-    assert not one.on_health("a", 12, well=False)
-    assert one.on_health("a", 12, well=True)
-    assert not one.on_health("b", 12, well=True)
+    assert not one.on_health("a", 12, is_healthy=False)
+    assert one.on_health("a", 12, is_healthy=True)
+    assert not one.on_health("b", 12, is_healthy=True)
     assert one.on_heartbeat("a", beat(1, ServerState.LEAVING), 0.0)
     assert one.current.leaving
 
 
 def test_ids_of_the_past_are_bounded():
     one = registration()
-    for number in range(MAX_RETIRED + 50):
-        one.on_goodbye(str(number))
-    assert len(one._retired) == MAX_RETIRED
+    for number in range(MAX_RETIRED_IDS + 50):
+        one.on_deregistration(str(number))
+    assert len(one._retired) == MAX_RETIRED_IDS
 
 
 WORDS = st.lists(
@@ -136,7 +136,7 @@
     left = set()
     for server, sequence, state in words:
         if state is None:
-            one.on_goodbye(server)
+            one.on_deregistration(server)
             left.add(server)
         else:
             one.on_heartbeat(server, beat(sequence, state), 0.0)
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -87,11 +87,11 @@
 def filled_cache(version=1):
     cache = FeedCache()
     changes = [ListChange(n, f"papers-{n}", instance(f"papers-{n}")) for n in (1, 2)]
-    cache.take_list(2, changes, whole=True)
+    cache.apply_list(2, changes, whole=True)
     for number in range(1, version + 1):
         new = bundle(BUNDLE.replace("slots = 4", f"slots = {number}"), number)
         signed = SignedBundle(new.canonical().decode())
-        cache.take_bundle(Head(number, new.digest()), signed, new)
+        cache.store_bundle(Head(number, new.digest()), signed, new)
     return cache
 
 
@@ -116,13 +116,13 @@
     assert behind.signed is None
     assert [delta.base for delta in behind.deltas] == [1, 2]
     follower = filled_cache(version=1)
-    assert follower.with_deltas(behind.deltas) == cache.bundle
-    assert FeedCache().with_deltas(behind.deltas) is None
+    assert follower.bundle_after_deltas(behind.deltas) == cache.bundle
+    assert FeedCache().bundle_after_deltas(behind.deltas) is None
 
 
 def test_list_changes_reach_a_follower_in_order():
     cache = filled_cache()
-    cache.take_list(5, [ListChange(5, "papers-1", None)], whole=False)
+    cache.apply_list(5, [ListChange(5, "papers-1", None)], whole=False)
     update = cache.since(Cursor("behind", bundle=1, listed=2))
     assert not update.whole
     assert update.changes == (ListChange(5, "papers-1", None),)
@@ -131,9 +131,9 @@
 def test_a_change_that_the_list_holds_already_sets_nothing_back():
     cache = FeedCache()
     newer = msgspec.structs.replace(instance("papers-1"), incarnation=2)
-    cache.take_list(3, [ListChange(6, "papers-1", newer)], whole=True)
+    cache.apply_list(3, [ListChange(6, "papers-1", newer)], whole=True)
     again = [ListChange(5, "papers-1", None), ListChange(6, "papers-1", newer)]
-    taken = cache.take_list(
+    taken = cache.apply_list(
         6, [*again, ListChange(7, "papers-2", instance("papers-2"))], whole=False
     )
     assert [change.version for change in taken] == [6, 7]
@@ -144,9 +144,9 @@
     """Told again, an instance that has come and gone would be back for a moment."""
     cache = filled_cache()
     came_and_went = [ListChange(3, "c", instance("c")), ListChange(4, "c", None)]
-    cache.take_list(4, came_and_went, whole=False)
+    cache.apply_list(4, came_and_went, whole=False)
     last = ListChange(5, "d", instance("d"))
-    assert cache.take_list(5, [*came_and_went, last], whole=False) == [last]
+    assert cache.apply_list(5, [*came_and_went, last], whole=False) == [last]
 
 
 async def zone_of(installation, count):
@@ -209,7 +209,7 @@
             victim = watching[0]
             del installation.nodes[victim.instance.name]
             victim.daemon.feed.relay._server.close()
-            victim.daemon.feed.cache.take_bundle = lambda *news: None  # it learns no more
+            victim.daemon.feed.cache.store_bundle = lambda *news: None  # it learns no more
             await installation.release(bundle(version=2))
             await eventually(lambda: _all_have(installation, 2))
             installation.nodes[victim.instance.name] = victim
@@ -235,7 +235,7 @@
             head = Head(2, forged.digest())
             signed = SignedBundle(forged.canonical().decode())
             for node in watching:
-                node.daemon.feed.cache.take_bundle(head, signed, forged)
+                node.daemon.feed.cache.store_bundle(head, signed, forged)
                 node.daemon.feed.relay.announce()
             await installation.release(bundle(version=2))
             real = bundle(version=2).digest()
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -132,7 +132,7 @@
         long = Bundle(2, routes=routes)
         cache = FeedCache()
         signed = SignedBundle(long.canonical().decode())
-        cache.take_bundle(Head(2, long.digest()), signed, long)
+        cache.store_bundle(Head(2, long.digest()), signed, long)
         server = relay.RelayServer(cache, PeerTls())
         await server.listen(HOST, 0)
         link = NarrowLink(HOST, server.port, LINK)
@@ -167,7 +167,7 @@
         bundle = Bundle(2)
         cache = FeedCache()
         signed = SignedBundle(bundle.canonical().decode())
-        cache.take_bundle(Head(2, bundle.digest()), signed, bundle)
+        cache.store_bundle(Head(2, bundle.digest()), signed, bundle)
         giver = relay.RelayServer(cache, PeerTls())
         await giver.listen(HOST, 0)
         store = CountingStore()
@@ -177,7 +177,7 @@
             TrustedPlatform(),
             Bus(),
         )
-        feed.cache.take_list(
+        feed.cache.apply_list(
             1,
             [ListChange(1, "a", Instance("a", "papers", "one", HOST, 1, 2, giver.port))],
             whole=True,
@@ -222,7 +222,7 @@
 
 def test_losing_and_finding_the_way_to_the_head_is_told_once():
     age = HeadAge(lost_after=5.0)
-    assert [age.look(seconds) for seconds in (0.0, 4.9, 5.1, 7.0, 0.1, 0.2)] == [
+    assert [age.check_age(seconds) for seconds in (0.0, 4.9, 5.1, 7.0, 0.1, 0.2)] == [
         None,
         None,
         AgeChange.LOST,
