--- a/packages/wheatslipd/wheatslipd/gate/__init__.py
+++ b/packages/wheatslipd/wheatslipd/gate/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request at the daemon beside its backend server: the peer port and the gate."""
+"""Server side of the daemon: the peer port, admission and the link to the backend server."""
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -1,4 +1,4 @@
-"""The way to the local backend server: its connections and one request on one of them."""
+"""HTTP client of the local backend server: its connection pool and sending of one request."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,27 +14,31 @@
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.telemetry import logs
 
-NO_LENGTH = frozenset({b"GET", b"HEAD"})
+# Methods whose requests carry no Content-Length header if their body is empty.
+METHODS_WITHOUT_CONTENT = frozenset({b"GET", b"HEAD"})
 
 
 @dataclass(slots=True, eq=False)
 class BackendAnswer:
-    """An answer that has begun; `release` must be called when it is read or given up."""
+    """A response whose head has arrived.
+
+    Pass it to `Backend.release` once its body has been read or is no longer wanted.
+    """
 
     response: Response
     connection: ClientConnection
 
 
 class Backend:
-    """The local backend server."""
+    """Sends requests to the local backend server."""
 
     def __init__(self, address: str, port: int, connections: int, connect_timeout: float):
-        """`connections` bounds those open at one time; `connect_timeout` in seconds."""
+        """`connections` limits the open connections; `connect_timeout` is in seconds."""
         self._address = address
         self._port = port
         self._pool = ConnectionPool(address, port, connections)
         self._connect_timeout = connect_timeout
-        self._resting = RestLimit()
+        self._idle_limit = RestLimit()
 
     async def send(
         self,
@@ -44,15 +48,16 @@
         connect_timeout: float = 0.0,
         on_connected: Callable[[], None] = lambda: None,
     ) -> BackendAnswer | NotRun | Unknown:
-        """Send a request; `NotRun` if surely nothing of it reached the server.
+        """Send a request. `NotRun` guarantees that no byte of it reached the server.
 
-        `echo` is the header, with its value, by which its answer is known from a surplus one;
-        `connect_timeout` the seconds that a connection may take, if more than usual;
-        `on_connected` is called before the first byte is sent.
+        `echo` is a header name and value that the server copies into the response; it tells the
+        response to this request from a surplus one on the same connection. `connect_timeout`
+        (seconds) raises the default connect timeout. `on_connected` is called before the first
+        byte is sent.
         """
         now = asyncio.get_running_loop().time()
         timeout = max(self._connect_timeout, connect_timeout)
-        connection = await self._pool.take(timeout, self._resting.trusted(now))
+        connection = await self._pool.take(timeout, self._idle_limit.trusted(now))
         if connection is None:
             return NO_CONNECTION
         on_connected()
@@ -62,7 +67,7 @@
             await self._send_request(connection, head, body)
             return BackendAnswer(await connection.response(), connection)
         except ConnectionError:
-            self._resting.on_reset(connection.rested, now)
+            self._idle_limit.on_reset(connection.rested, now)
             self._pool.give_back(connection)
             return Unknown(Reason.CONNECTION_LOST)
         except BodyBroken:
@@ -73,7 +78,7 @@
             raise
 
     async def refuses_connections(self) -> bool:
-        """Whether nothing listens at the server's address: its process has ended."""
+        """Whether the server's port is closed, which means that its process has ended."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(self._connect_timeout):
@@ -83,37 +88,37 @@
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError) as error:
-            # Nothing is known then; only a refusal says that the port is closed.
+            # Only a refused connection proves that the port is closed.
             logs.debug("backend-check-failed", error=type(error).__name__)
             return False
         transport.abort()
         return False
 
     def bound_connections(self, connections: int) -> None:
-        """Take a new bound; connections that are open beyond it are used up."""
+        """Change the connection limit; connections already open above it stay in use."""
         self._pool.limit = connections
 
     @property
     def connections(self) -> int:
-        """The bound of the connections open at one time."""
+        """The maximum number of open connections."""
         return self._pool.limit
 
     def release(self, answer: BackendAnswer) -> None:
-        """Keep the answer's connection if it was read to the end, close it otherwise."""
+        """Return the connection to the pool; it closes if the body was not read completely."""
         self._pool.give_back(answer.connection)
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Close idle connections."""
         self._pool.close()
 
     async def _send_request(
         self, connection: ClientConnection, head: RequestHead, body: Body
     ) -> None:
         if body.complete:
-            whole = await body.read_up_to(body.held + 1)
-            if whole or head.method not in NO_LENGTH:
-                head.headers.append((b"content-length", b"%d" % len(whole)))
-            await connection.start_with_body(head, whole)
+            content = await body.read_up_to(body.held + 1)
+            if content or head.method not in METHODS_WITHOUT_CONTENT:
+                head.headers.append((b"content-length", b"%d" % len(content)))
+            await connection.start_with_body(head, content)
             return
         await connection.start(head)
         async for chunk in body.chunks():
--- a/packages/wheatslipd/wheatslipd/gate/backendhead.py
+++ b/packages/wheatslipd/wheatslipd/gate/backendhead.py
@@ -1,6 +1,7 @@
-"""The head of a request to the backend server: the caller's, with deadline and identity.
+"""Builds the head of a request to the backend server, with its deadline and identity headers.
 
-By routes the server gets the headers that the settings name; otherwise it gets wheatslip's own.
+With the routes interface, the settings name these headers; with the workspace interface, they
+are the `wheatslip-*` headers.
 """
 
 from wheatslip.call import Call
@@ -10,35 +11,38 @@
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
-REPLACED = (b"content-length", TRACEPARENT)  # set anew for the connection to the server
+# Headers of the received request that are set again for the connection to the server.
+REPLACED_HEADERS = (b"content-length", TRACEPARENT)
 
 
-def backend_head(
+def build_backend_head(
     received: RequestHead, own_headers: Headers, traceparent: bytes | None
 ) -> RequestHead:
-    """The head to send: that of the forwarded request with our headers in their place."""
-    headers = [(name, value) for name, value in received.forwarded() if name not in REPLACED]
+    """Copy the head of the forwarded request, with `own_headers` and `traceparent` added."""
+    headers = [
+        (name, value) for name, value in received.forwarded() if name not in REPLACED_HEADERS
+    ]
     headers += own_headers
     if traceparent is not None:
         headers.append((TRACEPARENT, traceparent))
     return RequestHead(received.method, received.target, headers)
 
 
-def named_headers(names: HeaderNames, call: Call, now: float, server: str) -> Headers:
-    """Headers for a server behind routes; `server` is its registered id, empty if none."""
+def configured_headers(names: HeaderNames, call: Call, now: float, server: str) -> Headers:
+    """Headers for the routes interface; `server` is the server's registered id, or empty."""
     headers: Headers = []
     if names.deadline:
-        headers.append((names.deadline, b"%d" % _milliseconds_left(call, now)))
+        headers.append((names.deadline, b"%d" % _remaining_ms(call, now)))
     if names.instance and server:
         headers.append((names.instance, server.encode()))
     return headers
 
 
 def wheatslip_headers(call: Call, now: float) -> Headers:
-    """Headers for a server that knows wheatslip."""
+    """Headers for the workspace interface."""
     headers = [
         (b"wheatslip-workspace", call.workspace.encode()),
-        (DEADLINE_HEADER, b"%d" % _milliseconds_left(call, now)),
+        (DEADLINE_HEADER, b"%d" % _remaining_ms(call, now)),
         (DEPTH_HEADER, b"%d" % (call.depth + 1)),
     ]
     if call.key:
@@ -46,6 +50,6 @@
     return headers
 
 
-def _milliseconds_left(call: Call, now: float) -> int:
-    """Until the deadline; at least 1, as 0 would say that it has passed."""
+def _remaining_ms(call: Call, now: float) -> int:
+    """Milliseconds until the deadline; at least 1, because 0 would mean that it has passed."""
     return max(1, int(call.remaining(now) * MILLISECONDS))
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -1,8 +1,8 @@
-"""The gate of the local backend server: carries out what its `Admission` decides.
+"""Admission gate of the local backend server; carries out the decisions of `Admission`.
 
-It lets requests wait for their start, closes and opens by what happens to the server and its
-zone, and hands on what the server reports of itself. `needs_probe` is set while the server's
-state has to be found out by probes: it is slow, lost, or has just come.
+The gate queues requests until they may start, closes and opens on events of the server and its
+zone, and passes the server's load reports to `Admission`. `needs_probe` is set while only a
+probe can tell the state of the server: it is slow, lost or newly registered.
 """
 
 import asyncio
@@ -25,22 +25,21 @@
 from wheatslipd.settings import LogLevel
 from wheatslipd.telemetry import logs
 
-# Requests in a row that find no connection, or lose it before the answer, after which the
-# server counts as lost. With one, a single broken connection would close the gate; with more,
-# requests that may not run twice are spent on a server that is gone.
-LOST_IN_A_ROW = 2
+# Consecutive requests without a connection, or with one that broke before the response, after
+# which the server counts as lost.
+LOST_AFTER_FAILURES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class SpeedProbing:
-    """How a gate finds out before a request starts whether its server is slow now."""
+    """How a gate probes the speed of its server before it starts a request."""
 
-    probe: Callable[["Gate"], Awaitable[None]]  # lets the gate know, in bounded time
-    price: float  # of one probe, as a part of what an answer within its target is worth
+    probe: Callable[["Gate"], Awaitable[None]]  # updates the gate, in bounded time
+    price: float  # cost of one probe, as a fraction of the value of a response within target
 
 
 class Gate:
-    """Owns the admission of one backend server."""
+    """Applies the admission decisions for one backend server."""
 
     def __init__(
         self,
@@ -52,9 +51,10 @@
         is_probed: bool = False,
         probing: SpeedProbing | None = None,
     ):
-        """`closed_by`: the reasons to be closed that hold from the start. `is_probed`: someone
-        probes the server while `needs_probe` is set; without that a lost server is not noted:
-        nothing would open the gate again. `probing` None: no request waits for a probe.
+        """`closed_by` are the reasons for which the gate is closed at the start. `is_probed`
+        tells whether a task probes the server while `needs_probe` is set; without one, the gate
+        does not close for a lost server, since nothing would open it again. Without `probing`,
+        no request waits for a probe.
         """
         self.admission = admission
         for reason in closed_by:
@@ -64,13 +64,16 @@
         self.needs_probe = asyncio.Event()
         self._is_probed = is_probed
         self._probing = probing
-        self._lost_in_a_row = 0
+        self._consecutive_failures = 0
         self.load_reported_at = float("-inf")
         self._waiting: dict[Ticket, asyncio.Future[NotRun | None]] = {}
-        self._next_cold_start: asyncio.TimerHandle | None = None
+        self._cold_start_timer: asyncio.TimerHandle | None = None
 
-    async def enter(self, call: Call, max_wait: float) -> Ticket | NotRun:
-        """Wait for the start; the ticket that comes back has started and must be left with."""
+    async def start_call(self, call: Call, max_wait: float) -> Ticket | NotRun:
+        """Wait until the call may start; refuse it if that would take over `max_wait` seconds.
+
+        A returned ticket has started and must be passed to `finish_call`.
+        """
         now = self._clock()
         probing = self._probing
         if probing and self.admission.gain_of_probing(call, now) > probing.price:
@@ -80,17 +83,17 @@
         self._refuse_evicted()
         if isinstance(ticket, NotRun) or ticket.started is not None:
             return ticket
-        return await self._wait(ticket, now)
+        return await self._wait_for_start(ticket, now)
 
-    def leave(self, ticket: Ticket, *, worked: bool) -> None:
-        """A started request has ended; `worked`: the backend server answered it."""
+    def finish_call(self, ticket: Ticket, *, worked: bool) -> None:
+        """Record the end of a started request; `worked` if the backend server answered it."""
         if logs.is_enabled(LogLevel.DEBUG):
-            self._log_run(ticket, worked)
+            self._log_finished_call(ticket, worked)
         started = self.admission.finish(ticket, self._clock(), worked=worked)
-        self._wake(started)
+        self._end_waits(started)
 
-    def report(self) -> LoadReport:
-        """The load now, to ride on an answer."""
+    def load_report(self) -> LoadReport:
+        """The current load, sent with each response."""
         admission = self.admission
         now = self._clock()
         return LoadReport(
@@ -104,58 +107,61 @@
         )
 
     def is_closed_by(self, reason: ClosedBy) -> bool:
-        """Whether this reason to be closed holds, perhaps beside others."""
+        """Whether the gate is closed for this reason, possibly among others."""
         return reason in self.admission.closures.holding
 
-    def server_replaced(self) -> None:
-        """The server answered that it is not the registered one: nothing more is sent until a
-        heartbeat says which server it is. It would turn each request away, and each would be
-        paid for as a retry.
+    def on_server_replaced(self) -> None:
+        """Close the gate after a response that shows that another server is listening.
+
+        It opens when a heartbeat has identified that server. Until then the server would reject
+        each request, and each rejection would cost a retry.
         """
         if not self.is_closed_by(ClosedBy.SERVER_UNKNOWN):
             logs.info("backend-replaced", in_flight=self.admission.in_flight)
             self._close(ClosedBy.SERVER_UNKNOWN)
 
     def server_leaves(self) -> None:
-        """Refuse new work from now on; what waits is refused too, as it has not run."""
+        """Refuse new and queued requests; queued ones have not run and may go elsewhere."""
         self._close(ClosedBy.SERVER_LEAVES)
 
     def server_stays(self) -> None:
-        """The server is known, and does not leave: take new work again."""
+        """Accept requests again: the server is identified and not leaving."""
         self.admission.closures.remove(ClosedBy.SERVER_UNKNOWN)
         self.admission.closures.remove(ClosedBy.SERVER_LEAVES)
 
     def zone_drained(self) -> None:
-        """Nothing new may reach the server; what runs ends by itself."""
+        """Refuse new and queued requests; running ones continue to their end."""
         self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
         self._close(ClosedBy.ZONE_DRAINED)
 
     def zone_not_drained(self) -> None:
-        """The zone drains are read for the first time, and the zone is not among them."""
+        """Open the gate: the first read of the zone drains does not contain the zone."""
         self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
 
     def zone_restored(self) -> None:
-        """The zone is not drained any more. The server may have turned cold meanwhile, so it
-        gets no more than a cold server bears until it is probed.
+        """Open the gate: the zone is no longer drained.
+
+        The server may have become cold meanwhile, so it gets the load of a cold server until a
+        probe answers.
         """
         self.admission.closures.remove(ClosedBy.ZONE_DRAINED)
         self.admission.cold.assume(self._clock())
         self.needs_probe.set()
 
-    def on_lost(self) -> None:
-        """The backend server could not be reached, or broke off before its answer.
+    def on_connection_failure(self) -> None:
+        """Record a failure to connect, or a connection that broke before the response.
 
-        After `LOST_IN_A_ROW` of them nothing more is sent until it answers a probe: each
-        request sent might be one that may not run twice.
+        After `LOST_AFTER_FAILURES` consecutive failures the gate closes until the server
+        answers a probe, because each failed request may be one that must not run twice.
         """
         if not self._is_probed:
             return
-        self._lost_in_a_row += 1
-        if self._lost_in_a_row >= LOST_IN_A_ROW:
+        self._consecutive_failures += 1
+        if self._consecutive_failures >= LOST_AFTER_FAILURES:
             self._close_as_lost()
 
-    def on_ended(self) -> None:
-        """Nothing listens at the server's address: nothing is sent until it answers a probe."""
+    def on_server_ended(self) -> None:
+        """Close the gate until the server answers a probe: its port is closed."""
         if self._is_probed:
             self._close_as_lost()
 
@@ -165,21 +171,21 @@
         logs.warning("backend-lost", in_flight=self.admission.in_flight)
         self.admission.closures.add(ClosedBy.SERVER_LOST)
         self.needs_probe.set()
-        # Not `ClosedBy.refusal`: what waits here is given a shorter time than an arrival.
-        self._refuse_waiting(LOST_WHILE_WAITING)
+        # Not `ClosedBy.refusal`: queued requests get a shorter retry-after than new ones.
+        self._refuse_queued(LOST_WHILE_WAITING)
 
     def on_answer(self) -> None:
-        """The backend server answered, whatever it was."""
-        self._lost_in_a_row = 0
+        """Record a response of the backend server, whatever its status."""
+        self._consecutive_failures = 0
         if self.is_closed_by(ClosedBy.SERVER_LOST):
             logs.info("backend-back")
             self.admission.closures.remove(ClosedBy.SERVER_LOST)
-            # It may have crashed and come back cold; its answer to a probe clears this.
+            # It may have restarted and be cold; its answer to a probe clears this.
             self.admission.cold.assume(self._clock())
             self.assume_usual_speed()
 
     def learn(self, load: BackendLoad) -> None:
-        """The backend server reports its load."""
+        """Apply a load report of the backend server."""
         if load.slowness != self.admission.timing.slowness and logs.is_enabled(LogLevel.DEBUG):
             logs.debug(
                 "slowness",
@@ -194,28 +200,28 @@
         self.admission.timing.learn_speed(load.slowness, self.load_reported_at)
         if self.admission.timing.is_slow:
             self.needs_probe.set()
-            self._send_elsewhere()
+            self._refuse_for_faster_servers()
         else:
-            self._no_longer_slow()
+            self._resume_normal_speed()
 
-    def learn_no_load(self) -> None:
-        """The backend server answered without reporting its load, so it may never report it."""
+    def on_missing_load(self) -> None:
+        """Handle a response without a load report: the server may never send one."""
         if not self.admission.timing.is_speed_known:
             self.assume_usual_speed()
 
     def assume_usual_speed(self) -> None:
-        """The backend server does not report its speed, so it counts as usual."""
+        """Assume the usual speed, for a server that does not report its speed."""
         self.admission.timing.is_speed_known = True
         self.admission.timing.slowness = 1.0
-        self._no_longer_slow()
+        self._resume_normal_speed()
 
     def speed_unknown(self) -> None:
-        """Another backend server has come: its speed is not known until it reports."""
+        """Forget the speed: a new backend server has registered and has not reported yet."""
         self.admission.timing.forget_speed()
         self.needs_probe.set()
 
-    def learn_cold(self, remaining: float) -> None:
-        """The backend server answered a probe, and stays cold for `remaining` seconds."""
+    def update_cold_state(self, remaining: float) -> None:
+        """Apply the answer to a probe: the server stays cold for `remaining` seconds."""
         now = self._clock()
         was_cold = self.admission.cold.is_cold(now)
         self.admission.cold.probed()
@@ -224,11 +230,14 @@
         if is_cold and not was_cold:
             logs.info("backend-cold", remaining=round(remaining, 3))
         if was_cold and not is_cold:
-            self._wake(self.admission.admit(now))  # a warm server bears more of those that wait
+            # A warm server has capacity for more of the queued requests.
+            self._end_waits(self.admission.admit(now))
 
     def should_probe(self) -> bool:
-        """Whether to probe now, while `needs_probe` is set: a request waits for the answer, or
-        the server is likely to be fast again, which the entries should hear.
+        """Whether to probe now, while `needs_probe` is set.
+
+        A probe is due if a queued request depends on it, or if the server is probably fast
+        again, so that entries learn of it.
         """
         admission = self.admission
         if self.is_closed_by(ClosedBy.ZONE_UNKNOWN) or self.is_closed_by(ClosedBy.ZONE_DRAINED):
@@ -243,33 +252,33 @@
         return is_probe_due(admission.timing, self.load_reported_at, now)
 
     def _close(self, reason: ClosedBy) -> None:
-        """Refuse what arrives and what waits."""
+        """Close the gate and refuse all queued requests."""
         self.admission.closures.add(reason)
-        self._refuse_waiting(reason.refusal)
+        self._refuse_queued(reason.refusal)
 
-    def _refuse_waiting(self, refusal: NotRun) -> None:
+    def _refuse_queued(self, refusal: NotRun) -> None:
         for ticket, future in list(self._waiting.items()):
             if not future.done():
                 self.admission.withdraw(ticket)
                 future.set_result(refusal)
 
-    def _send_elsewhere(self) -> None:
-        """Refuse what waits here and should rather run on a faster server."""
+    def _refuse_for_faster_servers(self) -> None:
+        """Refuse queued requests that should run on a faster server."""
         for ticket in self.admission.take_for_elsewhere(self._clock()):
             self._end_wait(ticket, FASTER_ELSEWHERE)
 
-    def _no_longer_slow(self) -> None:
+    def _resume_normal_speed(self) -> None:
         if self.needs_probe.is_set() and not self.is_closed_by(ClosedBy.SERVER_LOST):
             self.needs_probe.clear()
-            self._wake(self.admission.admit(self._clock()))
+            self._end_waits(self.admission.admit(self._clock()))
 
-    async def _wait(self, ticket: Ticket, now: float) -> Ticket | NotRun:
+    async def _wait_for_start(self, ticket: Ticket, now: float) -> Ticket | NotRun:
         future: asyncio.Future[NotRun | None] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
-        self._plan_cold_start()
-        longest = self.admission.timing.latest_start(ticket.call, now) - now
+        self._schedule_cold_start()
+        timeout = self.admission.timing.latest_start(ticket.call, now) - now
         try:
-            async with asyncio.timeout(max(0.0, longest)):
+            async with asyncio.timeout(max(0.0, timeout)):
                 refusal = await future
             return ticket if refusal is None else refusal
         except TimeoutError:
@@ -280,39 +289,39 @@
             return self.admission.refusal_after_wait(ticket.call, self._clock())
         except asyncio.CancelledError:
             if not self.admission.withdraw(ticket) and ticket.started is not None:
-                self.leave(ticket, worked=False)
+                self.finish_call(ticket, worked=False)
             raise
         finally:
             del self._waiting[ticket]
 
-    def _wake(self, started: list[Ticket]) -> None:
+    def _end_waits(self, started: list[Ticket]) -> None:
         for ticket in started:
             self._end_wait(ticket, None)
-        self._plan_cold_start()
+        self._schedule_cold_start()
 
-    def _plan_cold_start(self) -> None:
-        """Set a timer for the next start at a cold server, if a request waits for it."""
+    def _schedule_cold_start(self) -> None:
+        """Schedule the next start on a cold server, if a request is queued."""
         wait = self.admission.cold_start_wait(self._clock())
-        if wait is None or self._next_cold_start is not None:
+        if wait is None or self._cold_start_timer is not None:
             return
         loop = asyncio.get_running_loop()
-        self._next_cold_start = loop.call_later(wait, self._admit_cold_start)
+        self._cold_start_timer = loop.call_later(wait, self._admit_cold_start)
 
     def _admit_cold_start(self) -> None:
-        self._next_cold_start = None
-        self._wake(self.admission.admit(self._clock()))
+        self._cold_start_timer = None
+        self._end_waits(self.admission.admit(self._clock()))
 
     def _refuse_evicted(self) -> None:
         for ticket in self.admission.evicted():
             self._end_wait(ticket, EVICTED)
 
     def _end_wait(self, ticket: Ticket, refusal: NotRun | None) -> None:
-        """End the wait of a ticket, if it waits; None: it has started."""
+        """Wake the task that waits for a ticket, if any; without `refusal` it has started."""
         future = self._waiting.get(ticket)
         if future is not None and not future.done():
             future.set_result(refusal)
 
-    def _log_run(self, ticket: Ticket, worked: bool) -> None:
+    def _log_finished_call(self, ticket: Ticket, worked: bool) -> None:
         now = self._clock()
         call = ticket.call
         assert ticket.started is not None
--- a/packages/wheatslipd/wheatslipd/gate/health.py
+++ b/packages/wheatslipd/wheatslipd/gate/health.py
@@ -1,4 +1,4 @@
-"""One request to the local backend server's health endpoint."""
+"""Requests to the health endpoint of the local backend server."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 from wheatslipd.http.body import Body, BodyBroken
 from wheatslipd.http.messages import MILLISECONDS, RequestHead, ResponseHead
 
-MAX_BODY_BYTES = 64 * 1024  # of the answer; what comes beyond is not read
+MAX_BODY_BYTES = 64 * 1024  # the rest of a longer response is not read
 
 
 async def ask_health(backend: Backend, path: str, timeout: float) -> ResponseHead | None:
-    """The head of the answer, whatever its status; None if none came in `timeout` seconds."""
-    body = Body(_nothing, _nothing)
+    """Return the response head, whatever its status; None on failure or timeout (seconds)."""
+    body = Body(_do_nothing, _do_nothing)
     body.finish()
     head = RequestHead(b"GET", path.encode(), [(b"host", b"localhost")])
     try:
@@ -29,8 +29,9 @@
 
 
 def cold_remaining(head: ResponseHead, header: bytes) -> float | None:
-    """Seconds that the server stays cold by its answer, 0 without the header; None if servers
-    report no such header (`header` is empty), or if it can't be read.
+    """Seconds for which the server stays cold, 0 without the header.
+
+    None if the setting for the header is empty, or if its value is invalid.
     """
     if not header:
         return None
@@ -40,5 +41,5 @@
         return None
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
--- a/packages/wheatslipd/wheatslipd/gate/measure.py
+++ b/packages/wheatslipd/wheatslipd/gate/idleprobe.py
@@ -1,7 +1,7 @@
-"""The task that looks after a silent backend server, within the operator's budget of probes.
+"""Probes the health endpoint of an idle backend server, at a configured maximum rate.
 
-Answers report the load at no cost, so the health endpoint is probed only in silence, when no
-request has ended for a while. If its answer says that the server leaves, the daemon leaves too.
+Responses to requests report the load, so probes are sent only if no request has finished for a
+while. If the endpoint reports that the server is draining, the daemon drains too.
 """
 
 import asyncio
@@ -16,27 +16,26 @@
 from wheatslipd.telemetry.metrics import Metrics
 
 DRAINING_HEADER = b"x-draining"
-# Seconds that a probe may take; a longer one only delays the next.
-PROBE_TIMEOUT = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class ProbeBudget:
-    """Allows at most `per_second` probes, evenly spaced. Pure; seconds, monotonic."""
+    """Rate limit of at most `per_second` evenly spaced probes; times are monotonic seconds."""
 
     per_second: float
-    last: float = float("-inf")
+    last_probe_at: float = float("-inf")
 
     def take(self, now: float) -> bool:
-        """Whether a probe may be sent now; counts it if so."""
-        if self.per_second <= 0 or now - self.last < 1.0 / self.per_second:
+        """Whether a probe may be sent now; if so, it is counted."""
+        if self.per_second <= 0 or now - self.last_probe_at < 1.0 / self.per_second:
             return False
-        self.last = now
+        self.last_probe_at = now
         return True
 
 
-class Measurer:
-    """Probes one backend server while it is silent."""
+class IdleProbe:
+    """Probes one backend server while it is idle."""
 
     def __init__(
         self,
@@ -45,15 +44,15 @@
         bus: Bus,
         metrics: Metrics,
         clock: Callable[[], float],
-        is_silent: Callable[[float], bool],
+        is_idle: Callable[[float], bool],
     ):
-        """`is_silent(seconds)`: whether nothing was answered for so long."""
+        """`is_idle(seconds)` tells whether no request has run or finished for that long."""
         self._backend = backend
         self._path = path
         self._bus = bus
         self._metrics = metrics
         self._clock = clock
-        self._is_silent = is_silent
+        self._is_idle = is_idle
         self.budget = ProbeBudget(1.0)
 
     async def run(self) -> None:
@@ -61,15 +60,15 @@
         while True:
             pause = 1.0 / self.budget.per_second if self.budget.per_second > 0 else 1.0
             await asyncio.sleep(pause)
-            if self._is_silent(pause) and self.budget.take(self._clock()):
+            if self._is_idle(pause) and self.budget.take(self._clock()):
                 await self._probe()
 
     async def _probe(self) -> None:
         started = self._clock()
-        found = await ask_health(self._backend, self._path, PROBE_TIMEOUT)
+        head = await ask_health(self._backend, self._path, PROBE_TIMEOUT_SECONDS)
         self._metrics.probes.inc({})
         self._metrics.probe_seconds.add({}, self._clock() - started)
-        if found is None:
+        if head is None:
             logs.warning("probe-failed", repeat_key="probe")
-        elif found.get(DRAINING_HEADER) == b"yes":
-            self._bus.fire(leaving("the backend server says so"))
+        elif head.get(DRAINING_HEADER) == b"yes":
+            self._bus.fire(leaving("the backend server reports that it is draining"))
--- a/packages/wheatslipd/wheatslipd/gate/keyguard.py
+++ b/packages/wheatslipd/wheatslipd/gate/keyguard.py
@@ -1,4 +1,4 @@
-"""At most once at this daemon: the lease on keys, their ownership, and the ledger, as one."""
+"""At-most-once execution of keyed calls: checks lease, key ownership and key ledger."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,21 +12,27 @@
 
 @dataclass(slots=True)
 class KeyGuard:
-    """Decides whether a call bound by its key may run here. `unix` is the clock, in seconds;
-    `list_checked` returns when the list of instances was last checked, by the same clock.
+    """Decides whether a call that may run only once by its key may run at this daemon.
+
+    `name` is the name of this daemon. `unix` is the wall clock, in Unix seconds;
+    `list_checked_at` returns when the list of instances was last checked, by the same clock.
     """
 
     name: str
     ledger: KeyLedger
     owners: OwnerHistory
     unix: Callable[[], float]
-    list_checked: Callable[[], float]
+    list_checked_at: Callable[[], float]
 
     def claim(self, call: Call) -> Claim | NotRun | Unknown:
-        """A claim that is fresh (run, then `settle`) or done (answer again), or an outcome."""
+        """Claim the key of a call.
+
+        With a fresh claim, run the call and then call `settle`; with a done one, repeat its
+        kept answer. Otherwise the outcome is final.
+        """
         now = self.unix()
-        if not self.owners.is_lease_held(self.list_checked(), now):
-            # We may have been frozen or cut off, and another may own the key by now.
+        if not self.owners.is_lease_held(self.list_checked_at(), now):
+            # The daemon may have been suspended or partitioned; another may own the key now.
             return LEASE_LAPSED
         safe_since = self.owners.safe_since(call.owned_key, self.name)
         if safe_since is None:
@@ -42,7 +48,7 @@
         return claim
 
     def settle(self, call: Call, outcome: Outcome, kept: KeptAnswer) -> None:
-        """Note what became of a fresh claim; `kept` has a status if it is whole."""
+        """Record the outcome of a fresh claim; `kept` has a status only if it is complete."""
         match outcome:
             case NotRun():
                 self.ledger.not_run(call.workspace, call.key)
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -1,7 +1,7 @@
-"""The peer port: the only way to the local backend server.
+"""The peer port: handles requests that entries forward to the local backend server.
 
-It takes requests that entries forward, checks them as outside input, and passes each through
-the key guard and the gate to the backend server. Every answer carries the gate's load report.
+No other port leads to the server. Each request is validated as untrusted input, then passes the
+key guard, the suspect guard and the gate. Every response carries the gate's load report.
 """
 
 import asyncio
@@ -31,10 +31,14 @@
 from wheatslipd.controllers.view import View
 from wheatslipd.entry.answers import send_refusal
 from wheatslipd.gate.backend import Backend, BackendAnswer
-from wheatslipd.gate.backendhead import backend_head, named_headers, wheatslip_headers
+from wheatslipd.gate.backendhead import (
+    build_backend_head,
+    configured_headers,
+    wheatslip_headers,
+)
 from wheatslipd.gate.gate import Gate
 from wheatslipd.gate.keyguard import KeyGuard
-from wheatslipd.gate.serverend import ServerEnds
+from wheatslipd.gate.serverend import ServerEndDetector
 from wheatslipd.gate.suspects import SuspectGuard
 from wheatslipd.http.body import BodyBroken
 from wheatslipd.http.exchange import Exchange
@@ -45,19 +49,18 @@
 from wheatslipd.telemetry.outcometext import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT, HopTrace, HopTracer
 
-# Seconds that a request waits for a configuration which its entry has already and this daemon
-# has not: shorter refuses requests while a change travels, longer only delays their next try.
-CATCH_UP_SECONDS = 0.5
-CATCH_UP_STEP = 0.02  # seconds between two looks at the version
-# Bytes of a body that are waited for before a request takes a slot: less lets slow bodies hold
-# slots, more holds memory for each request. As much as an entry sends ahead.
-BODY_HOLD = 64 * 1024
-MISDIRECTED = 421  # HTTP status by which a server says that the request is for another one
+# Time that a request waits for this daemon to reach the configuration version of its entry.
+CATCH_UP_TIMEOUT_SECONDS = 0.5
+CATCH_UP_POLL_SECONDS = 0.02
+# Bytes of a body that are buffered before the request takes a slot, so that a slow upload does
+# not hold a slot. As much as an entry buffers (`REPLAY_LIMIT_BYTES`).
+BUFFERED_BODY_BYTES = 64 * 1024
+MISDIRECTED_STATUS = 421  # HTTP 421 Misdirected Request: the server is not the registered one
 
 
 @dataclass(slots=True, eq=False)
-class _Passage:
-    """One forwarded request on its way through the peer port."""
+class _ForwardedRequest:
+    """A forwarded request and what was decoded from it."""
 
     exchange: Exchange
     hop: Hop
@@ -66,25 +69,28 @@
     fingerprint: str
 
     def run(self) -> Run:
-        """The request as one that its backend server begins to run."""
+        """The record of this request for the server-end detector."""
         return Run(self.fingerprint, self.call.service, self.call.kind.name)
 
 
 @dataclass(frozen=True, slots=True)
-class BackendWay:
-    """What a request passes to the backend server, in this order."""
+class BackendStages:
+    """The stages that a request passes, in order, and the detector of server ends."""
 
     keys: KeyGuard
     suspects: SuspectGuard
     gate: Gate
     backend: Backend
-    ends: ServerEnds
+    end_detector: ServerEndDetector
 
 
 @dataclass(frozen=True, slots=True)
-class PeerTerms:
-    """What entries and the backend server go by. `pool` is that of the backend server; with
-    `by_routes` entries decide by their routes, and the server knows no headers of wheatslip.
+class PeerPortSettings:
+    """Settings of the peer port.
+
+    `pool` is the pool of the backend server, `names` are the configured header names. With
+    `by_routes`, entries select the pool by their routes, and the server gets the headers in
+    `names` instead of the `wheatslip-*` headers.
     """
 
     pool: str
@@ -93,41 +99,40 @@
 
 
 class PeerPort:
-    """Handles forwarded requests."""
+    """Handles the requests of the peer port."""
 
     def __init__(
         self,
         view: View,
-        way: BackendWay,
-        terms: PeerTerms,
+        stages: BackendStages,
+        settings: PeerPortSettings,
         metrics: Metrics,
         tracer: HopTracer,
         clock: Callable[[], float],
         on_newer_version: Callable[[int, str], None],
     ):
-        """`on_newer_version` takes a bundle version that an entry has and this daemon has not
-        yet, and the address of that entry.
+        """`on_newer_version` is called with a bundle version newer than this daemon's, and the
+        address of the entry that has it.
         """
         self._view = view
-        self._keys = way.keys
-        self._suspects = way.suspects
-        self._gate = way.gate
-        self._backend = way.backend
-        self._ends = way.ends
-        self._terms = terms
-        self._names = terms.names
+        self._keys = stages.keys
+        self._suspects = stages.suspects
+        self._gate = stages.gate
+        self._backend = stages.backend
+        self._end_detector = stages.end_detector
+        self._settings = settings
+        self._names = settings.names
         self._metrics = metrics
         self._tracer = tracer
         self._clock = clock
         self._on_newer_version = on_newer_version
-        self.server = ""  # the backend server's id; empty: it has none
+        self.server = ""  # registered id of the backend server, or empty
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one forwarded request."""
         trace = self._tracer.hop("admission", exchange.head.get(TRACEPARENT), is_head=False)
         outcome: Outcome = Unknown(Reason.CANCELLED)
         try:
-            outcome = await self._pass(exchange, trace)
+            outcome = await self._process(exchange, trace)
             if not isinstance(outcome, Answered) and not exchange.started:
                 await send_refusal(exchange, outcome, self._load_header())
         finally:
@@ -135,68 +140,68 @@
             trace.set("wheatslip.outcome", describe(outcome))
             trace.end()
 
-    async def _pass(self, exchange: Exchange, trace: HopTrace) -> Outcome:
+    async def _process(self, exchange: Exchange, trace: HopTrace) -> Outcome:
         hop = decode_hop(exchange.head.get(HOP_HEADER) or b"")
         if hop is None or (hop.key and key_time(hop.key) is None):
             return NotRun(Reason.BAD_REQUEST)
         request_id = exchange.head.get(self._names.request_id) or b""
-        call = _call_of(hop, self._clock(), request_id.decode("latin-1"))
+        call = _decode_call(hop, self._clock(), request_id.decode("latin-1"))
         if not exchange.expects_continue:
             try:
-                # The body is waited for before the request takes a slot.
-                await exchange.body.hold_up_to(BODY_HOLD)
+                await exchange.body.hold_up_to(BUFFERED_BODY_BYTES)
             except BodyBroken:
                 return Unknown(Reason.CANCELLED)
-        passage = _Passage(exchange, hop, call, trace, _fingerprint(exchange, hop))
+        request = _ForwardedRequest(exchange, hop, call, trace, _fingerprint(exchange, hop))
         refusal = await self._check_entry(hop, exchange)
         if refusal is not None:
             return refusal
         if call.runs_once_by_key:
-            return await self._run_keyed(passage)
-        return await self._run(passage, None)
+            return await self._run_keyed(request)
+        return await self._run(request, None)
 
     async def _check_entry(self, hop: Hop, exchange: Exchange) -> NotRun | None:
-        """A refusal if the entry decided by a list or configuration that is out of date."""
-        if not self._terms.by_routes:
+        """Return a refusal if the entry used an outdated list or configuration."""
+        if not self._settings.by_routes:
             return await self._check_version(hop.version, exchange)
-        # The entry decided by its routes, so the version here does not matter. But a daemon of
-        # another pool may have taken over this address since the entry read the list.
-        if hop.service != self._terms.pool:
+        # The entry selected the pool by its routes, so the version here does not matter. But
+        # this daemon may have reused the address of one in another pool since the entry read
+        # the list.
+        if hop.service != self._settings.pool:
             return NotRun(Reason.WRONG_POOL)
         if hop.version > self._view.version:
             self._on_newer_version(hop.version, exchange.connection.peer_address)
         return None
 
     async def _check_version(self, version: int, exchange: Exchange) -> NotRun | None:
-        """Catch up with the entry's bundle version before answering."""
+        """Wait for the entry's bundle version; return a refusal if it does not arrive."""
         if self._view.version >= version and self._view.configuration is not None:
             return None
         self._on_newer_version(version, exchange.connection.peer_address)
-        give_up = self._clock() + CATCH_UP_SECONDS
-        while self._clock() < give_up:
-            await asyncio.sleep(CATCH_UP_STEP)
+        give_up_at = self._clock() + CATCH_UP_TIMEOUT_SECONDS
+        while self._clock() < give_up_at:
+            await asyncio.sleep(CATCH_UP_POLL_SECONDS)
             if self._view.version >= version:
                 return None
         if self._view.configuration is None:
             return NotRun(Reason.NO_CONFIGURATION)
         return NotRun(Reason.VERSION_BEHIND)
 
-    async def _run_keyed(self, passage: _Passage) -> Outcome:
-        call = passage.call
+    async def _run_keyed(self, request: _ForwardedRequest) -> Outcome:
+        call = request.call
         claim = self._keys.claim(call)
         if not isinstance(claim, Claim):
             return claim
         if claim.state is KeyState.DONE:
-            return await self._answer_again(passage.exchange, claim.answer)
+            return await self._replay_answer(request.exchange, claim.answer)
         kept = KeptAnswer()
         outcome: Outcome = Unknown(Reason.CANCELLED)
         try:
-            outcome = await self._run(passage, kept)
+            outcome = await self._run(request, kept)
         finally:
             self._keys.settle(call, outcome, kept)
         return outcome
 
-    async def _answer_again(self, exchange: Exchange, kept: KeptAnswer | None) -> Outcome:
+    async def _replay_answer(self, exchange: Exchange, kept: KeptAnswer | None) -> Outcome:
         if kept is None:
             return Unknown(Reason.DUPLICATE)
         headers = [h for h in kept.headers if h[0] != b"content-length"]
@@ -204,96 +209,96 @@
         await exchange.respond(ResponseHead(kept.status, headers), kept.body)
         return Answered(kept.status)
 
-    async def _run(self, passage: _Passage, kept: KeptAnswer | None) -> Outcome:
-        bound = passage.hop.max_wait
-        max_wait = ANY_WAIT if bound is None else bound
-        was_suspected = passage.exchange.head.get(SUSPECT_HEADER) is not None
-        async with self._suspects.passing(
-            passage.call, passage.fingerprint, max_wait, was_suspected=was_suspected
+    async def _run(self, request: _ForwardedRequest, kept: KeptAnswer | None) -> Outcome:
+        hop_max_wait = request.hop.max_wait
+        max_wait = ANY_WAIT if hop_max_wait is None else hop_max_wait
+        was_suspected = request.exchange.head.get(SUSPECT_HEADER) is not None
+        async with self._suspects.reserve(
+            request.call, request.fingerprint, max_wait, was_suspected=was_suspected
         ) as refusal:
             if refusal is not None:
                 return refusal
-            ticket = await self._gate.enter(passage.call, max_wait)
+            ticket = await self._gate.start_call(request.call, max_wait)
             if isinstance(ticket, NotRun):
                 return ticket
-            return await self._run_started(passage, ticket, kept)
+            return await self._run_started(request, ticket, kept)
 
     async def _run_started(
-        self, passage: _Passage, ticket: Ticket, kept: KeptAnswer | None
+        self, request: _ForwardedRequest, ticket: Ticket, kept: KeptAnswer | None
     ) -> Outcome:
         worked = False
-        run = passage.run()
+        run = request.run()
         try:
-            remaining = passage.call.remaining(self._clock())
+            remaining = request.call.remaining(self._clock())
             async with asyncio.timeout(max(0.0, remaining)):
-                await passage.exchange.send_continue()
-                answer = await self._send(passage, remaining, run)
+                await request.exchange.send_continue()
+                answer = await self._send(request, remaining, run)
             if not isinstance(answer, BackendAnswer):
-                self._gate.on_lost()
+                self._gate.on_connection_failure()
                 return await self._after_loss(run, answer)
             self._gate.on_answer()
             worked = True
             try:
-                outcome = await self._answer(passage, answer, kept)
+                outcome = await self._relay_answer(request, answer, kept)
             finally:
                 self._backend.release(answer)
             return await self._after_answer(run, outcome)
         except TimeoutError:
             return Unknown(Reason.DEADLINE)
         finally:
-            self._ends.exposure.left(run, self._clock())
-            self._gate.leave(ticket, worked=worked)
+            self._end_detector.exposure.left(run, self._clock())
+            self._gate.finish_call(ticket, worked=worked)
 
     async def _after_loss(self, run: Run, outcome: NotRun | Unknown) -> NotRun | Unknown:
-        """No answer came: find out whether the server has ended."""
+        """Handle a missing response: check whether the server has ended."""
         if isinstance(outcome, NotRun):
-            self._ends.exposure.not_run(run)
-            self._ends.begin_check()
+            self._end_detector.exposure.not_run(run)
+            self._end_detector.start_check()
             return outcome
-        self._ends.exposure.broken(run, self._clock())
-        has_ended = await self._ends.check()
+        self._end_detector.exposure.broken(run, self._clock())
+        has_ended = await self._end_detector.has_server_ended()
         return Unknown(Reason.SERVER_ENDED) if has_ended else outcome
 
     async def _after_answer(self, run: Run, outcome: Outcome) -> Outcome:
-        """An answer began; it counts as one when it came whole."""
+        """Record the outcome of a request whose response head arrived."""
         match outcome:
             case Answered(status) if status >= SERVER_ERROR:
-                # It may have given up on what will end it.
-                self._ends.exposure.left(run, self._clock())
+                # The server may have failed this request and still end because of it.
+                self._end_detector.exposure.left(run, self._clock())
             case Answered():
-                self._ends.exposure.answered(run, self._clock())
-                self._suspects.answered(run.fingerprint)
+                self._end_detector.exposure.answered(run, self._clock())
+                self._suspects.on_answered(run.fingerprint)
             case NotRun():
-                self._ends.exposure.not_run(run)
+                self._end_detector.exposure.not_run(run)
             case Unknown():
                 await self._after_loss(run, outcome)
         return outcome
 
     def _send(
-        self, passage: _Passage, remaining: float, run: Run
+        self, request: _ForwardedRequest, remaining: float, run: Run
     ) -> Awaitable[BackendAnswer | NotRun | Unknown]:
-        """Send the request to the backend server; `remaining` seconds are left for it."""
-        call = passage.call
+        """Send the request to the backend server; `remaining` is the time left, in seconds."""
+        call = request.call
         echo = self._names.request_id
         request_id = call.request_id.encode("latin-1")
         return self._backend.send(
-            self._backend_head(passage),
-            passage.exchange.body,
+            self._backend_head(request),
+            request.exchange.body,
             (echo, request_id) if echo and request_id else None,
-            # The same key sent again meanwhile is refused as running, so the connection may
-            # take all the time that is left.
+            # A repeated send of the key is refused as running, so connecting may use all of
+            # the remaining time.
             remaining if call.runs_once_by_key else 0.0,
-            lambda: self._ends.exposure.begin(run),
+            lambda: self._end_detector.exposure.begin(run),
         )
 
-    async def _answer(
-        self, passage: _Passage, answer: BackendAnswer, kept: KeptAnswer | None
+    async def _relay_answer(
+        self, request: _ForwardedRequest, answer: BackendAnswer, kept: KeptAnswer | None
     ) -> Outcome:
         response = answer.response
-        self._learn_load(response.head)
-        if self._was_not_run(response.head, passage.call):
-            if self.server and response.head.status == MISDIRECTED:
-                self._gate.server_replaced()
+        self._update_load(response.head)
+        if self._was_turned_away(response.head, request.call):
+            if self.server and response.head.status == MISDIRECTED_STATUS:
+                self._gate.on_server_replaced()
             return TURNED_AWAY
         headers = [
             (name, value)
@@ -303,33 +308,33 @@
         if kept is not None:
             kept.headers = list(headers)
         headers += [(OUTCOME_HEADER, b"answered"), *self._load_header()]
-        passage.exchange.start(ResponseHead(response.head.status, headers))
+        request.exchange.start(ResponseHead(response.head.status, headers))
         try:
-            await passage.exchange.relay(response.body, kept.add if kept is not None else None)
+            await request.exchange.relay(response.body, kept.add if kept is not None else None)
         except BodyBroken:
             return Unknown(Reason.CONNECTION_LOST)
         if kept is not None:
             kept.status = response.head.status
         return Answered(response.head.status)
 
-    def _backend_head(self, passage: _Passage) -> RequestHead:
-        call = passage.call
+    def _backend_head(self, request: _ForwardedRequest) -> RequestHead:
+        call = request.call
         now = self._clock()
-        if self._terms.by_routes:
-            own_headers = named_headers(self._names, call, now, self.server)
+        if self._settings.by_routes:
+            own_headers = configured_headers(self._names, call, now, self.server)
         else:
             own_headers = wheatslip_headers(call, now)
-        return backend_head(passage.exchange.head, own_headers, passage.trace.outgoing)
+        return build_backend_head(request.exchange.head, own_headers, request.trace.outgoing)
 
-    def _learn_load(self, head: ResponseHead) -> None:
+    def _update_load(self, head: ResponseHead) -> None:
         load = decode_backend_load(head.get(self._names.load) or b"")
         if load is not None:
             self._gate.learn(load)
         else:
-            self._gate.learn_no_load()
+            self._gate.on_missing_load()
 
-    def _was_not_run(self, head: ResponseHead, call: Call) -> bool:
-        """Whether the backend server says that it turned the request away."""
+    def _was_turned_away(self, head: ResponseHead, call: Call) -> bool:
+        """Whether the backend server reports that it did not run the request."""
         if self._names.not_run and head.get(self._names.not_run) is not None:
             return True
         return head.status == self._shed_status(call.service)
@@ -342,21 +347,21 @@
         return configuration.pools[service.pool].shed_status
 
     def _load_header(self) -> Headers:
-        return [(LOAD_HEADER, encode(self._gate.report()))]
+        return [(LOAD_HEADER, encode(self._gate.load_report()))]
 
 
 def _fingerprint(exchange: Exchange, hop: Hop) -> str:
-    """The request's fingerprint, by its entry or from what came of its body so far."""
+    """The fingerprint that the entry sent, or else one of the head and the buffered body."""
     head = exchange.head
-    named = head.get(FINGERPRINT_HEADER)
-    if named is not None:
-        return named.decode("ascii", "replace")
+    received_fingerprint = head.get(FINGERPRINT_HEADER)
+    if received_fingerprint is not None:
+        return received_fingerprint.decode("ascii", "replace")
     body = exchange.body.peek(BODY_BYTES)
     return fingerprint_of(head, hop.workspace, hop.service, body)
 
 
-def _call_of(hop: Hop, now: float, request_id: str) -> Call:
-    """The call that an entry forwards; its times begin when its head is read."""
+def _decode_call(hop: Hop, now: float, request_id: str) -> Call:
+    """Build the call from a decoded hop; its remaining times count from `now`."""
     call_class = CallClass.URGENT if hop.urgent else CallClass.NORMAL
     return Call(
         hop.workspace,
@@ -365,12 +370,12 @@
         now + hop.remaining,
         hop.key,
         hop.depth,
-        target=_moment(now, hop.target),
-        hold_until=_moment(now, hop.hold),
+        target=_time_after(now, hop.target),
+        hold_until=_time_after(now, hop.hold),
         request_id=request_id,
     )
 
 
-def _moment(now: float, left: float | None) -> float:
-    """The moment that is `left` seconds away; never, if there is no such bound."""
-    return ANY_WAIT if left is None else now + left
+def _time_after(now: float, seconds: float | None) -> float:
+    """The time `seconds` after `now`; `ANY_WAIT` if there is no bound."""
+    return ANY_WAIT if seconds is None else now + seconds
--- a/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
+++ b/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
@@ -1,8 +1,7 @@
-"""The task that probes a backend server whose answers don't show its state.
+"""Probes a backend server that answers too few requests to report its speed with them.
 
-A slow server is spared new work, a lost one gets none at all, and one that has just come has
-answered nothing yet: none of them reports its speed with answers, so its health endpoint is
-probed.
+A slow server gets little new work, a lost server gets none, and a newly registered server has
+not answered any request yet.
 """
 
 import asyncio
@@ -13,13 +12,11 @@
 from wheatslipd.gate.gate import Gate
 from wheatslipd.gate.speedcheck import SpeedCheck
 
-# Seconds between probes of a lost server: shorter loads a server in trouble, longer keeps a
-# server that is back without work.
-LOST_INTERVAL = 0.2
+LOST_INTERVAL_SECONDS = 0.2  # between probes of a lost server
 
 
 class RecoveryProbe:
-    """Probes a backend server while its gate needs it, after `interval` seconds of silence."""
+    """Probes a backend server while its gate needs it, `interval` seconds after a report."""
 
     def __init__(
         self, gate: Gate, check: SpeedCheck, clock: Callable[[], float], interval: float
@@ -34,12 +31,12 @@
         while True:
             await self._check.has_path.wait()
             await self._gate.needs_probe.wait()
-            known_for = self._clock() - self._gate.load_reported_at
-            if known_for < self._interval:
-                await asyncio.sleep(self._interval - known_for)
+            report_age = self._clock() - self._gate.load_reported_at
+            if report_age < self._interval:
+                await asyncio.sleep(self._interval - report_age)
                 continue
             if self._gate.should_probe():
                 await self._check.probe(self._gate)
             is_lost = self._gate.is_closed_by(ClosedBy.SERVER_LOST)
-            pause = LOST_INTERVAL if is_lost else self._interval
+            pause = LOST_INTERVAL_SECONDS if is_lost else self._interval
             await asyncio.sleep(pause)
--- a/packages/wheatslipd/wheatslipd/gate/serverend.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverend.py
@@ -1,8 +1,8 @@
-"""Finds out whether the local backend server has ended, and which requests it ran then.
+"""Detects that the local backend server has ended, and which requests it was running.
 
-A connection that breaks is no end: a server in trouble may reset some connections and go on. It
-has ended when no request is left on the connections that it had, and nothing listens at its
-address any more, which one connection tells.
+A broken connection is not enough: an overloaded server may reset some connections and go on.
+The server has ended if no request is in flight on its connections any more, and its port
+refuses a new connection.
 """
 
 import asyncio
@@ -18,18 +18,17 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 
-# Seconds from a check that found the server listening to the next one. Shorter, a server that
-# resets many connections gets as many more; longer, the requests that wait for the check wait
-# longer.
-CHECK_PAUSE = 0.05
-# Seconds in which all connections of a process that has ended break. A server that resets some,
-# or refuses one more because it is full, goes on with the others.
-BREAK_SECONDS = 0.01
-MAX_LOGGED = 16  # fingerprints in the line of one end
+# Minimum time between two checks, so that a server that resets many connections does not get
+# as many new ones.
+CHECK_INTERVAL_SECONDS = 0.05
+# Time within which all connections of an ended process break. A server that resets some of its
+# connections, or refuses a new one because it is full, keeps the others.
+DISCONNECT_SECONDS = 0.01
+MAX_LOGGED_FINGERPRINTS = 16  # in the log line of one end
 
 
-class ServerEnds:
-    """Checks one backend server when an answer of it is lost."""
+class ServerEndDetector:
+    """Checks whether the backend server has ended after a response was lost."""
 
     def __init__(
         self,
@@ -39,53 +38,56 @@
         metrics: Metrics,
         clock: Callable[[], float],
     ):
-        """`clock` in seconds, monotonic."""
+        """`clock` is monotonic, in seconds."""
         self.exposure = Exposure()
         self._backend = backend
         self._gate = gate
         self._bus = bus
         self._metrics = metrics
         self._clock = clock
-        self._running: asyncio.Task[bool] | None = None
-        self._next_at = float("-inf")
+        self._check_task: asyncio.Task[bool] | None = None
+        self._next_check_at = float("-inf")
 
-    async def check(self) -> bool:
-        """Whether the server has ended; all that ask meanwhile share the answer."""
-        return await asyncio.shield(self.begin_check())
+    async def has_server_ended(self) -> bool:
+        """Whether the server has ended; concurrent callers share one check."""
+        return await asyncio.shield(self.start_check())
 
-    def begin_check(self) -> asyncio.Task[bool]:
-        """Begin a check, if none is running; returns the one that runs."""
-        if self._running is None or self._running.done():
-            self._running = asyncio.get_running_loop().create_task(self._check())
-        return self._running
+    def start_check(self) -> asyncio.Task[bool]:
+        """Start a check unless one is running; return the running one."""
+        if self._check_task is None or self._check_task.done():
+            self._check_task = asyncio.get_running_loop().create_task(self._check())
+        return self._check_task
 
     async def _check(self) -> bool:
         if self.exposure.running:
-            await asyncio.sleep(BREAK_SECONDS)
+            await asyncio.sleep(DISCONNECT_SECONDS)
         if self.exposure.running:
             return False
-        await asyncio.sleep(max(0.0, self._next_at - self._clock()))
-        is_gone = await self._backend.refuses_connections()
-        self._next_at = self._clock() + CHECK_PAUSE
-        if is_gone:
-            self._note_end()
-        return is_gone
+        await asyncio.sleep(max(0.0, self._next_check_at - self._clock()))
+        has_ended = await self._backend.refuses_connections()
+        self._next_check_at = self._clock() + CHECK_INTERVAL_SECONDS
+        if has_ended:
+            self._record_end()
+        return has_ended
 
-    def _note_end(self) -> None:
+    def _record_end(self) -> None:
         exposed = self.exposure.server_ended(self._clock())
         if not exposed.runs:
-            return  # nobody was harmed, or this end was noted already
+            return  # no request was affected, or this end was recorded before
         self._metrics.server_ends.inc({})
-        self._log(exposed)
+        self._log_end(exposed)
         if not self._gate.is_closed_by(ClosedBy.SERVER_LEAVES):
-            # An end that was announced is no sign against what ran to its end.
+            # After an announced end, the requests that were running are not suspects.
             self._bus.fire(server_ended(exposed))
-        self._gate.on_ended()
+        self._gate.on_server_ended()
 
-    def _log(self, exposed: Exposed) -> None:
+    def _log_end(self, exposed: Exposed) -> None:
         logs.warning(
             "backend-ended",
             running=exposed.runs,
             answered_before=exposed.answered_before,
-            suspects=",".join(run.fingerprint for run in exposed.suspects[:MAX_LOGGED]) or "-",
+            suspects=",".join(
+                run.fingerprint for run in exposed.suspects[:MAX_LOGGED_FINGERPRINTS]
+            )
+            or "-",
         )
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -1,4 +1,4 @@
-"""The parts between the peer port and the backend server, in the order of a request's way."""
+"""Builds the parts from the peer port to the backend server."""
 
 from dataclasses import dataclass
 
@@ -10,30 +10,30 @@
 
 from wheatslipd.gate.backend import Backend
 from wheatslipd.gate.gate import Gate, SpeedProbing
+from wheatslipd.gate.idleprobe import IdleProbe
 from wheatslipd.gate.keyguard import KeyGuard
-from wheatslipd.gate.measure import Measurer
-from wheatslipd.gate.peerport import BackendWay, PeerPort, PeerTerms
-from wheatslipd.gate.serverend import ServerEnds
+from wheatslipd.gate.peerport import BackendStages, PeerPort, PeerPortSettings
+from wheatslipd.gate.serverend import ServerEndDetector
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.gate.suspects import SuspectGuard
 from wheatslipd.settings import NO_CHECKS, Interface, Settings
 from wheatslipd.shared import Shared
 from wheatslipd.telemetry.tracing import HopTracer
 
-BACKEND_CONNECTIONS = 220  # at most, until a bundle names a number; a pool's default
+DEFAULT_MAX_CONNECTIONS = 220  # until a bundle sets a limit; default of a pool
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSide:
-    """One daemon's only way to its backend server."""
+    """The parts through which one daemon sends requests to its backend server."""
 
     peer_port: PeerPort
     keys: KeyGuard
     gate: Gate
-    speed_check: SpeedCheck  # used where a backend server registers
+    speed_check: SpeedCheck  # used only if the backend server registers with the daemon
     backend: Backend
-    measurer: Measurer
-    ends: ServerEnds
+    measurer: IdleProbe
+    end_detector: ServerEndDetector
 
 
 def build_server_side(
@@ -43,11 +43,14 @@
     owners: OwnerHistory,
     cache: FeedCache,
 ) -> ServerSide:
-    """Build the parts; nothing runs yet. `cache` tells when the list was last checked."""
+    """Build the parts without starting tasks.
+
+    `cache` holds the time when the list of instances was last checked.
+    """
     backend = Backend(
         settings.backend_address,
         settings.backend_port,
-        BACKEND_CONNECTIONS,
+        DEFAULT_MAX_CONNECTIONS,
         settings.connect_timeout,
     )
     speed_check = SpeedCheck(
@@ -57,33 +60,40 @@
         shared.monotonic,
         SlidingLimit(settings.checks_per_second),
     )
-    gate = _gate(settings, shared, speed_check)
-    ends = ServerEnds(backend, gate, shared.bus, shared.metrics, shared.monotonic)
+    gate = _build_gate(settings, shared, speed_check)
+    end_detector = ServerEndDetector(
+        backend, gate, shared.bus, shared.metrics, shared.monotonic
+    )
     guard = SuspectGuard(shared.quarantine, shared.monotonic, shared.unix)
     ledger = KeyLedger(watching_since=shared.unix())
     keys = KeyGuard(settings.name, ledger, owners, shared.unix, lambda: cache.checked)
     peer_port = PeerPort(
         shared.view,
-        BackendWay(keys, guard, gate, backend, ends),
-        PeerTerms(settings.pool, settings.headers, settings.interface is Interface.ROUTES),
+        BackendStages(keys, guard, gate, backend, end_detector),
+        PeerPortSettings(
+            settings.pool, settings.headers, settings.interface is Interface.ROUTES
+        ),
         shared.metrics,
         tracer,
         shared.monotonic,
         shared.hint_newer_version,
     )
-    measurer = _measurer(settings, shared, gate, backend)
-    return ServerSide(peer_port, keys, gate, speed_check, backend, measurer, ends)
+    measurer = _build_idle_probe(settings, shared, gate, backend)
+    return ServerSide(peer_port, keys, gate, speed_check, backend, measurer, end_detector)
+
 
+def _build_gate(settings: Settings, shared: Shared, speed_check: SpeedCheck) -> Gate:
+    """Build the gate, closed until the zone drains are known.
 
-def _gate(settings: Settings, shared: Shared, speed_check: SpeedCheck) -> Gate:
-    """The gate, closed until the zone drains are known and a server has registered."""
+    If the backend server registers with this daemon, the gate is also closed until it has.
+    """
     admission = Admission(AdmissionSettings())
     if not settings.lists_itself:
         closed_by = (ClosedBy.ZONE_UNKNOWN,)
         return Gate(admission, shared.view, shared.monotonic, closed_by=closed_by)
     probing = None
     if settings.check_price < NO_CHECKS and settings.headers.load:
-        probing = SpeedProbing(speed_check.probe_briefly, settings.check_price)
+        probing = SpeedProbing(speed_check.probe_for_request, settings.check_price)
     return Gate(
         admission,
         shared.view,
@@ -94,12 +104,14 @@
     )
 
 
-def _measurer(settings: Settings, shared: Shared, gate: Gate, backend: Backend) -> Measurer:
-    def is_silent(seconds: float) -> bool:
+def _build_idle_probe(
+    settings: Settings, shared: Shared, gate: Gate, backend: Backend
+) -> IdleProbe:
+    def is_idle(seconds: float) -> bool:
         admission = gate.admission
-        silence = shared.monotonic() - admission.last_finished
-        return admission.in_flight == 0 and silence >= seconds
+        idle_time = shared.monotonic() - admission.last_finished
+        return admission.in_flight == 0 and idle_time >= seconds
 
-    return Measurer(
-        backend, settings.health_path, shared.bus, shared.metrics, shared.monotonic, is_silent
+    return IdleProbe(
+        backend, settings.health_path, shared.bus, shared.metrics, shared.monotonic, is_idle
     )
--- a/packages/wheatslipd/wheatslipd/gate/suspects.py
+++ b/packages/wheatslipd/wheatslipd/gate/suspects.py
@@ -1,8 +1,7 @@
-"""How a request may run at the local backend server: at once, alone among suspects, or not.
+"""Limits suspects, which are requests that may end the server that runs them.
 
-While one suspect runs, other suspects wait for it: when the server ends under it, no other one
-ran there, and the innocent ones among them are answered sooner or later. Requests that nothing
-is held against go on beside it.
+At most one suspect runs at a time, so that an end of the server points to a single one, and
+harmless suspects are answered eventually, which clears them. Other requests run concurrently.
 """
 
 import asyncio
@@ -14,13 +13,12 @@
 from wheatslip.quarantine import Quarantine, Standing
 from wheatslip.retryafter import SUSPECT_RUNS, held
 
-# Seconds that a suspect waits for another one at the most: some service times. Longer, one that
-# hangs holds up all; shorter, innocent ones are refused while they could still be answered.
-LANE_SECONDS = 1.0
+# Longest wait of a suspect for another one, so that one that hangs does not block the others.
+MAX_SUSPECT_WAIT_SECONDS = 1.0
 
 
 class SuspectGuard:
-    """Lets requests pass to one backend server by what is held against them."""
+    """Admits requests to one backend server by their standing in the quarantine."""
 
     def __init__(
         self,
@@ -28,36 +26,36 @@
         clock: Callable[[], float],
         unix: Callable[[], float],
     ):
-        """`clock` is monotonic; both are in seconds."""
+        """`clock` is monotonic, `unix` is wall-clock time; both are in seconds."""
         self._quarantine = quarantine
         self._clock = clock
         self._unix = unix
-        self._lane = asyncio.Lock()
+        self._suspect_lock = asyncio.Lock()
 
     @asynccontextmanager
-    async def passing(
+    async def reserve(
         self, call: Call, fingerprint: str, max_wait: float, *, was_suspected: bool
     ) -> AsyncIterator[NotRun | None]:
-        """Hold the request's place while it runs; gives the refusal if it may not run now.
+        """Keep other suspects out while a suspect runs; yields a refusal if it may not run now.
 
-        `was_suspected`: its entry has seen a server end under it. `max_wait`: seconds that it
-        may wait for other suspects.
+        `was_suspected`: the entry saw a server end while it ran this request. `max_wait` is the
+        time in seconds that the request may wait for other suspects.
         """
         standing = self._standing(fingerprint)
         if standing is Standing.FREE and not was_suspected:
             yield None
         elif standing is Standing.HELD:
             yield self._refusal(fingerprint)
-        elif await self._enter_lane(call, max_wait):
+        elif await self._acquire_suspect_lock(call, max_wait):
             try:
                 yield self._refusal(fingerprint)
             finally:
-                self._lane.release()
+                self._suspect_lock.release()
         else:
             yield SUSPECT_RUNS
 
-    def answered(self, fingerprint: str) -> None:
-        """The server answered the request without failing, so it does not end servers."""
+    def on_answered(self, fingerprint: str) -> None:
+        """Clear the request: the server answered it without failing."""
         self._quarantine.answered(fingerprint)
 
     def _standing(self, fingerprint: str) -> Standing:
@@ -66,17 +64,19 @@
         return self._quarantine.standing(fingerprint, self._unix())
 
     def _refusal(self, fingerprint: str) -> NotRun | None:
-        """The refusal of a request that is held; None if it is not."""
+        """The refusal of a held request; None if the request is not held."""
         seconds = self._quarantine.held_for(fingerprint, self._unix())
         return held(seconds) if seconds > 0 else None
 
-    async def _enter_lane(self, call: Call, max_wait: float) -> bool:
-        """Wait until no other suspect runs here; False if that takes too long."""
+    async def _acquire_suspect_lock(self, call: Call, max_wait: float) -> bool:
+        """Wait until no other suspect runs here; return False on timeout."""
         now = self._clock()
         until = call.deadline if call.hold_until >= ANY_WAIT else call.hold_until
         try:
-            async with asyncio.timeout(max(0.0, min(max_wait, until - now, LANE_SECONDS))):
-                await self._lane.acquire()
+            async with asyncio.timeout(
+                max(0.0, min(max_wait, until - now, MAX_SUSPECT_WAIT_SECONDS))
+            ):
+                await self._suspect_lock.acquire()
         except TimeoutError:
             return False
         return True
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -12,7 +12,7 @@
 from wheatslip.chooser import Chooser, Upstream
 from wheatslip.hop import LoadReport
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
-from wheatslipd.gate.measure import ProbeBudget
+from wheatslipd.gate.idleprobe import ProbeBudget
 
 NAMES = ("a", "b", "c", "d", "e", "f")
 OUTCOMES = [
--- a/test/test_coldstarts.py
+++ b/test/test_coldstarts.py
@@ -245,11 +245,11 @@
         gate.admission.cold.bound(RATE)
         gate.admission.cold.assume(0.0)
         for _ in range(int(RATE.burst)):
-            await gate.enter(call(), ANY_WAIT)
-        waiting = asyncio.create_task(gate.enter(call(), ANY_WAIT))
+            await gate.start_call(call(), ANY_WAIT)
+        waiting = asyncio.create_task(gate.start_call(call(), ANY_WAIT))
         await asyncio.sleep(0)
         assert not waiting.done()
-        gate.learn_cold(0.0)
+        gate.update_cold_state(0.0)
         await asyncio.sleep(0)
         assert waiting.done() and waiting.result().started == 0.0
 
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -66,7 +66,7 @@
         one, _ = gate(slots=4)
         taught(one.admission)
         one.learn(SLOW)
-        waiting = asyncio.create_task(one.enter(call(), ANY_WAIT))
+        waiting = asyncio.create_task(one.start_call(call(), ANY_WAIT))
         await asyncio.sleep(0)
         assert one.admission.in_flight == 0
         one.learn(USUAL)
@@ -162,7 +162,7 @@
     ticket = one.admission.arrive(call(), clock.now)
     one.learn(SLOW)
     clock.now = 0.8
-    one.leave(ticket, worked=True)
+    one.finish_call(ticket, worked=True)
     one.learn(USUAL)
     assert one.admission.arrive(call(target=1.2), clock.now, max_wait=0.03).started is not None
 
@@ -190,7 +190,7 @@
 def test_a_server_that_never_tells_its_load_counts_as_usual():
     one, _ = gate()
     one.speed_unknown()
-    one.learn_no_load()
+    one.on_missing_load()
     assert one.admission.timing.is_speed_known and not one.needs_probe.is_set()
 
 
@@ -198,14 +198,14 @@
     async def scenario():
         one, _ = gate()
         taught(one.admission)
-        running = await one.enter(call(), ANY_WAIT)
-        waiting = asyncio.create_task(one.enter(call(), 0.5))
-        stays = asyncio.create_task(one.enter(call(hold=ANY_WAIT), ANY_WAIT))
+        running = await one.start_call(call(), ANY_WAIT)
+        waiting = asyncio.create_task(one.start_call(call(), 0.5))
+        stays = asyncio.create_task(one.start_call(call(hold=ANY_WAIT), ANY_WAIT))
         await asyncio.sleep(0)
         one.learn(SLOW)
         refusal = await waiting
         assert isinstance(refusal, NotRun) and refusal.reason is Reason.OVERLOADED
-        one.leave(running, worked=True)
+        one.finish_call(running, worked=True)
         assert (await stays).started is not None
 
     run(scenario)
@@ -215,7 +215,7 @@
     one, _ = gate()
     one.learn(SLOW)
     assert one.needs_probe.is_set()
-    assert one.report().slowness == 4.0
+    assert one.load_report().slowness == 4.0
     one.learn(USUAL)
     assert not one.needs_probe.is_set()
 
@@ -223,8 +223,8 @@
 def test_a_request_held_to_its_bound_is_refused_with_a_time_to_come_back():
     async def scenario():
         one, clock = gate()
-        await one.enter(call(), ANY_WAIT)
-        waiting = asyncio.create_task(one.enter(call(hold=0.02), ANY_WAIT))
+        await one.start_call(call(), ANY_WAIT)
+        waiting = asyncio.create_task(one.start_call(call(hold=0.02), ANY_WAIT))
         await asyncio.sleep(0)
         clock.now = 0.02
         refusal = await waiting
@@ -240,7 +240,7 @@
     one.admission.closures.add(ClosedBy.SERVER_UNKNOWN)
     refusal = one.admission.arrive(call(), 0.0)
     assert refusal.reason is Reason.NOT_READY and refusal.retryable
-    assert not one.report().leaving
+    assert not one.load_report().leaving
     one.server_stays()
     assert one.admission.arrive(call(), 0.0).started is not None
 
@@ -267,12 +267,12 @@
 def test_a_server_that_resets_gets_nothing_more_until_it_answers():
     async def scenario():
         one, _ = gate()
-        await one.enter(call(), ANY_WAIT)
-        waiting = asyncio.create_task(one.enter(call(), ANY_WAIT))
+        await one.start_call(call(), ANY_WAIT)
+        waiting = asyncio.create_task(one.start_call(call(), ANY_WAIT))
         await asyncio.sleep(0)
-        one.on_lost()
+        one.on_connection_failure()
         assert not one.is_closed_by(ClosedBy.SERVER_LOST)
-        one.on_lost()
+        one.on_connection_failure()
         assert (await waiting).reason is Reason.UNREACHABLE
         assert one.admission.arrive(call(), 0.0).reason is Reason.UNREACHABLE
         assert one.needs_probe.is_set()
@@ -286,7 +286,7 @@
 def test_resets_between_answers_do_not_close_the_gate():
     one, _ = gate()
     for _ in range(10):
-        one.on_lost()
+        one.on_connection_failure()
         one.on_answer()
     assert not one.is_closed_by(ClosedBy.SERVER_LOST)
 
@@ -294,5 +294,5 @@
 def test_a_gate_that_no_one_reopens_is_not_closed():
     one, _ = gate(is_probed=False)
     for _ in range(10):
-        one.on_lost()
+        one.on_connection_failure()
     assert not one.is_closed_by(ClosedBy.SERVER_LOST)
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -142,7 +142,7 @@
         self.most = 0
 
     async def pass_through(self, fingerprint, *, max_wait=ANY_WAIT, was_suspected=False):
-        async with self.guard.passing(
+        async with self.guard.reserve(
             call(), fingerprint, max_wait, was_suspected=was_suspected
         ) as refusal:
             if refusal is not None:
--- a/test/test_recoveryprobe.py
+++ b/test/test_recoveryprobe.py
@@ -114,7 +114,7 @@
     check = speed_check(backend, per_second)
     check.use_path("/health")
     admission = Admission(AdmissionSettings(slots=4))
-    gate = Gate(admission, View(), clock, probing=SpeedProbing(check.probe_briefly, price))
+    gate = Gate(admission, View(), clock, probing=SpeedProbing(check.probe_for_request, price))
     now = clock()
     ticket = gate.admission.arrive(one_call(now), now)
     gate.admission.finish(ticket, now + 0.2, worked=True)
@@ -131,10 +131,10 @@
     async def scenario():
         backend = TellingBackend(500)
         gate, clock = checked_gate(backend)
-        refusal = await gate.enter(one_call(clock()), 0.06)
+        refusal = await gate.start_call(one_call(clock()), 0.06)
         assert isinstance(refusal, NotRun) and refusal.reason is Reason.OVERLOADED
         assert backend.asked == 1
-        assert gate.report().slowness == 5.0  # the refusal carries the fresh word
+        assert gate.load_report().slowness == 5.0  # the refusal carries the fresh word
 
     run(scenario)
 
@@ -143,10 +143,10 @@
     async def scenario():
         backend = TellingBackend(100)
         gate, clock = checked_gate(backend)
-        ticket = await gate.enter(one_call(clock()), 0.06)
+        ticket = await gate.start_call(one_call(clock()), 0.06)
         assert ticket.started is not None
         assert backend.asked == 1
-        assert (await gate.enter(one_call(clock()), 0.06)).started is not None
+        assert (await gate.start_call(one_call(clock()), 0.06)).started is not None
         assert backend.asked == 1  # the word is fresh
 
     run(scenario)
@@ -156,7 +156,7 @@
     async def scenario():
         backend = TellingBackend(100)
         gate, clock = checked_gate(backend)
-        entering = [gate.enter(one_call(clock()), 0.06) for _ in range(4)]
+        entering = [gate.start_call(one_call(clock()), 0.06) for _ in range(4)]
         tickets = await asyncio.gather(*entering)
         assert all(ticket.started is not None for ticket in tickets)
         assert backend.asked == 1
@@ -168,7 +168,7 @@
     async def scenario():
         backend = TellingBackend(500)
         gate, clock = checked_gate(backend, price=0.9)
-        assert (await gate.enter(one_call(clock()), 0.06)).started is not None
+        assert (await gate.start_call(one_call(clock()), 0.06)).started is not None
         assert backend.asked == 0
 
     run(scenario)
@@ -178,11 +178,11 @@
     async def scenario():
         backend = AskedBackend()
         gate, clock = checked_gate(backend)
-        ticket = await gate.enter(one_call(clock()), 0.06)
+        ticket = await gate.start_call(one_call(clock()), 0.06)
         assert ticket.started is not None
         assert len(backend.heads) == 1 and not backend.given_up  # the question goes on
         gate.admission.timing.learn_speed(1.0, clock() - 10.0)
-        await gate.enter(one_call(clock()), 0.06)
+        await gate.start_call(one_call(clock()), 0.06)
         assert len(backend.heads) == 1  # it is left alone for a while
 
     run(scenario)
@@ -194,8 +194,8 @@
         gate, clock = checked_gate(backend, per_second=3.0)
         for _ in range(4):
             gate.admission.timing.learn_speed(1.0, clock() - 10.0)
-            ticket = await gate.enter(one_call(clock()), 0.06)
-            gate.leave(ticket, worked=False)
+            ticket = await gate.start_call(one_call(clock()), 0.06)
+            gate.finish_call(ticket, worked=False)
         assert backend.asked == 3
 
     run(scenario)
@@ -206,7 +206,7 @@
         gate, clock = checked_gate(TellingBackend(100))
         gate.learn(BackendLoad(1, 0, 4, slowness=5.0))
         assert not gate.should_probe()
-        waiting = asyncio.create_task(gate.enter(one_call(clock()), ANY_WAIT))
+        waiting = asyncio.create_task(gate.start_call(one_call(clock()), ANY_WAIT))
         for _ in range(TURNS):
             await asyncio.sleep(0)
         assert gate.admission.queued == 1 and gate.should_probe()
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -8,7 +8,7 @@
 from wheatslipd.controllers.view import View
 from wheatslipd.gate.backend import Backend
 from wheatslipd.gate.gate import Gate
-from wheatslipd.gate.serverend import ServerEnds
+from wheatslipd.gate.serverend import ServerEndDetector
 from wheatslipd.telemetry.metrics import Metrics
 
 from standins.cluster import HOST
@@ -25,7 +25,7 @@
         gate = Gate(Admission(AdmissionSettings()), View(), loop.time, is_probed=True)
         backend = Backend(HOST, port, 10, 0.25)
         self.bus = Bus()
-        self.ends = ServerEnds(backend, gate, self.bus, Metrics("a", "one"), loop.time)
+        self.ends = ServerEndDetector(backend, gate, self.bus, Metrics("a", "one"), loop.time)
         self.gate = gate
 
     def begin(self, name):
@@ -47,7 +47,7 @@
         place = Place(await closed_port())
         one = place.begin("f")
         place.ends.exposure.broken(one, asyncio.get_running_loop().time())
-        assert await place.ends.check()
+        assert await place.ends.has_server_ended()
         assert place.gate.admission.closures.holding
         assert len(place.bus) == 1
 
@@ -60,11 +60,11 @@
         broken, running = place.begin("f"), place.begin("g")
         now = asyncio.get_running_loop().time()
         place.ends.exposure.broken(broken, now)
-        assert not await place.ends.check()
+        assert not await place.ends.has_server_ended()
         assert not place.gate.admission.closures.holding and len(place.bus) == 0
         # The last one breaks too: now it has ended, and both ran there.
         place.ends.exposure.broken(running, now)
-        assert await place.ends.check() and len(place.bus) == 1
+        assert await place.ends.has_server_ended() and len(place.bus) == 1
 
     run(scenario)
 
@@ -87,7 +87,7 @@
         place.gate.server_leaves()
         one = place.begin("f")
         place.ends.exposure.broken(one, asyncio.get_running_loop().time())
-        assert await place.ends.check()
+        assert await place.ends.has_server_ended()
         assert len(place.bus) == 0
 
     run(scenario)
