--- a/packages/wheatslipd/wheatslipd/entry/__init__.py
+++ b/packages/wheatslipd/wheatslipd/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request at the daemon that takes it: filters, then the forwarder."""
+"""Entry side of the daemon: accepts requests of callers and forwards them to peer daemons."""
--- a/packages/wheatslipd/wheatslipd/entry/answers.py
+++ b/packages/wheatslipd/wheatslipd/entry/answers.py
@@ -1,4 +1,4 @@
-"""The HTTP answers for outcomes that are not a backend server's answer."""
+"""HTTP responses for outcomes without a response of a backend server."""
 
 import math
 
@@ -22,40 +22,41 @@
     Reason.DUPLICATE: 409,
     Reason.KEY_TOO_OLD: 409,
 }
-NOT_RUN_DEFAULT = 503  # HTTP status
-UNKNOWN_DEFAULT = 502  # HTTP status
-RETRY_AFTER_MS = b"wheatslip-retry-after-ms"
+DEFAULT_NOT_RUN_STATUS = 503
+DEFAULT_UNKNOWN_STATUS = 502
+RETRY_AFTER_MS_HEADER = b"wheatslip-retry-after-ms"
 
 
 def status_of(outcome: NotRun | Unknown, *, by_routes: bool = False) -> int:
-    """The HTTP status of an outcome that is not an answer; `by_routes` as in `send_refusal`."""
+    """The HTTP status of a refusal; `by_routes` as in `send_refusal`."""
     if isinstance(outcome, Unknown):
-        return _UNKNOWN_STATUS.get(outcome.reason, UNKNOWN_DEFAULT)
+        return _UNKNOWN_STATUS.get(outcome.reason, DEFAULT_UNKNOWN_STATUS)
     if by_routes and outcome.reason is Reason.DEADLINE:
-        return NOT_RUN_DEFAULT
-    return _NOT_RUN_STATUS.get(outcome.reason, NOT_RUN_DEFAULT)
+        return DEFAULT_NOT_RUN_STATUS
+    return _NOT_RUN_STATUS.get(outcome.reason, DEFAULT_NOT_RUN_STATUS)
 
 
 async def send_refusal(
     exchange: Exchange,
     outcome: NotRun | Unknown,
-    extra: Headers | None = None,
+    extra_headers: Headers | None = None,
     *,
     by_routes: bool = False,
 ) -> None:
-    """Answer with a refusal; `extra` headers go with it.
+    """Respond with a refusal.
 
-    `by_routes`: the caller knows HTTP only, so the status alone must say that the request was
-    not run, and `Retry-After` has fractions of a second. Otherwise our own headers say both.
+    With `by_routes`, the caller does not read `wheatslip-*` headers: the status alone must show
+    that the request was not run, and `Retry-After` has fractions of a second. Otherwise these
+    headers carry the outcome and the exact retry-after time.
     """
-    headers: Headers = [(OUTCOME_HEADER, encode_outcome(outcome)), *(extra or [])]
+    headers: Headers = [(OUTCOME_HEADER, encode_outcome(outcome)), *(extra_headers or [])]
     status = status_of(outcome, by_routes=by_routes)
     if by_routes:
-        if status == NOT_RUN_DEFAULT and isinstance(outcome, NotRun):
+        if status == DEFAULT_NOT_RUN_STATUS and isinstance(outcome, NotRun):
             wait = outcome.retry_after or UNTIMED
             headers.append((b"retry-after", b"%.3f" % wait))
     elif isinstance(outcome, NotRun) and outcome.retry_after is not None:
-        # Retry-After has whole seconds only, so the exact time goes with it.
+        # Retry-After has whole seconds only, so a second header carries the exact time.
         headers.append((b"retry-after", b"%d" % math.ceil(outcome.retry_after)))
-        headers.append((RETRY_AFTER_MS, b"%d" % math.ceil(outcome.retry_after * 1000)))
+        headers.append((RETRY_AFTER_MS_HEADER, b"%d" % math.ceil(outcome.retry_after * 1000)))
     await exchange.respond(ResponseHead(status, headers))
--- a/packages/wheatslipd/wheatslipd/entry/entry.py
+++ b/packages/wheatslipd/wheatslipd/entry/entry.py
@@ -1,4 +1,4 @@
-"""The entry: takes callers' requests and runs each through the filter chain."""
+"""The entry port: runs each request of a caller through the filter chain."""
 
 from collections.abc import Callable
 
@@ -21,14 +21,13 @@
         *,
         by_routes: bool = False,
     ):
-        """`by_routes`: callers know HTTP only; see `send_refusal`."""
+        """`by_routes` is passed to `send_refusal`."""
         self._chain = chain
         self._view = view
         self._clock = clock
         self._by_routes = by_routes
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
         if self._view.stopping:
             exchange.head.keep_alive = False
         outcome = await self._chain(EntryRequest(exchange, self._clock()))
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -1,4 +1,4 @@
-"""The entry's filters. `common_filters` and `workspace_filters` list them in their order."""
+"""The entry's filters; `common_filters` and `workspace_filters` return them in chain order."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,22 +24,21 @@
 KEY_HEADER = b"wheatslip-key"
 DEADLINE_HEADER = b"wheatslip-deadline-ms"
 DEPTH_HEADER = b"wheatslip-depth"
-MAX_DEPTH = 16  # calls in a chain; a longer one is most likely a loop.
-BEARER = b"Bearer "
-# Methods that HTTP defines as safe: repeatable unless the caller names a kind.
+MAX_DEPTH = 16  # nested calls; a longer chain is probably a loop
+BEARER_PREFIX = b"Bearer "
+# Safe methods by HTTP: their requests are repeatable unless the caller names a kind.
 SAFE_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS"})
-READ_ONLY = RequestKind("read", repeatable=True)
-ONCE = RequestKind("once", repeatable=False)
+READ_KIND = RequestKind("read", repeatable=True)
+ONCE_KIND = RequestKind("once", repeatable=False)
 
 
 @dataclass(slots=True)
 class TraceFilter:
-    """Begins and ends the entry's span."""
+    """Records the entry's tracing span."""
 
     tracer: HopTracer
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Trace the rest of the chain."""
         incoming = request.exchange.head.get(TRACEPARENT)
         request.trace = self.tracer.hop("entry", incoming, is_head=True)
         try:
@@ -58,66 +57,64 @@
     clock: Callable[[], float]
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Count the outcome of the rest of the chain."""
         outcome = await proceed(request)
         workspace = request.workspace.name if request.workspace else "-"
         service = request.service.name if request.service else "-"
-        took = self.clock() - request.arrived
+        elapsed = self.clock() - request.arrived
         labels = {"workspace": workspace, "service": service, "outcome": describe(outcome)}
         self.metrics.requests.inc(labels)
-        self.metrics.request_seconds.observe({"service": service}, took)
+        self.metrics.request_seconds.observe({"service": service}, elapsed)
         if not isinstance(outcome, Answered):
             logs.debug(
                 "request-not-answered",
                 workspace=workspace,
                 service=service,
                 outcome=describe(outcome),
-                seconds=round(took, 4),
+                seconds=round(elapsed, 4),
             )
         return outcome
 
 
 @dataclass(slots=True)
 class ReadyFilter:
-    """Refuses everything while no configuration is in force or the daemon stops.
+    """Refuses requests while the daemon has no configuration or is stopping.
 
-    Load pattern: after a loss of power all callers send at once, while each daemon waits for
-    the answers to its first reads. Requests that come in these moments wait with it: refused, a
-    caller would come back only after a third of its time.
+    After a power loss, all callers send at once while daemons still read their configuration.
+    Requests that arrive during startup wait, since a refused caller would lose a large part of
+    its deadline before it retries.
     """
 
     view: View
     clock: Callable[[], float]
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Fix the configuration that the request is served under."""
+        """Set the configuration, which stays the same for the whole request."""
         if self.view.closed:
             return STOPPING
         if not self.view.known.is_set():
-            await self._wait_for_start()
+            await self._wait_until_ready()
         if self.view.configuration is None or self.view.drains is None:
             return NOT_CONFIGURED
         request.configuration = self.view.configuration
         return await proceed(request)
 
-    async def _wait_for_start(self) -> None:
-        """Wait until what requests need is known, as long as that is expected."""
-        left = self.view.expected_until - self.clock()
+    async def _wait_until_ready(self) -> None:
+        """Wait for configuration and zone drains, until the expected end of startup."""
+        remaining = self.view.expected_until - self.clock()
         with suppress(TimeoutError):
-            async with asyncio.timeout(max(0.0, left)):
+            async with asyncio.timeout(max(0.0, remaining)):
                 await self.view.known.wait()
 
 
 class IdentifyFilter:
-    """Finds the workspace by its credential, and by nothing else."""
+    """Authenticates the workspace by its bearer credential."""
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Set the workspace."""
         assert request.configuration is not None
         value = request.exchange.head.get(b"authorization") or b""
-        if not value.startswith(BEARER):
+        if not value.startswith(BEARER_PREFIX):
             return NotRun(Reason.UNAUTHENTICATED)
-        credential = value[len(BEARER) :].decode("ascii", "replace").strip()
+        credential = value[len(BEARER_PREFIX) :].decode("ascii", "replace").strip()
         request.workspace = request.configuration.workspace_of(credential_digest(credential))
         if request.workspace is None:
             return NotRun(Reason.UNAUTHENTICATED)
@@ -125,10 +122,10 @@
 
 
 class AuthoriseFilter:
-    """Finds the service, if the workspace may call it."""
+    """Selects the service, if the workspace may call it."""
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Set the service. One that is not the workspace's to call does not exist for it."""
+        """Set the service; one that the workspace may not call is reported as not found."""
         assert request.configuration is not None and request.workspace is not None
         name = (request.exchange.head.get(SERVICE_HEADER) or b"").decode("ascii", "replace")
         service = request.configuration.services.get(name)
@@ -140,29 +137,29 @@
 
 @dataclass(slots=True)
 class ClassifyFilter:
-    """Reads kind, key and deadline into a `Call`."""
+    """Builds the `Call` from the request's kind, key, deadline and depth headers."""
 
     clock: Callable[[], float]
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Set the call, or refuse what can't be read."""
+        """Set the call; refuse invalid headers."""
         assert request.workspace is not None and request.service is not None
         head = request.exchange.head
         kind = _kind(head, request.service)
-        allowed = _allowed_seconds(head, request.service.max_deadline)
+        allowed_seconds = _allowed_seconds(head, request.service.max_deadline)
         depth = _depth(head)
         key = (head.get(KEY_HEADER) or b"").decode("ascii", "replace")
-        if kind is None or allowed is None or depth is None:
+        if kind is None or allowed_seconds is None or depth is None:
             return NotRun(Reason.BAD_REQUEST)
         if key and key_time(key) is None:
             return NotRun(Reason.BAD_REQUEST)
-        if allowed <= 0:
+        if allowed_seconds <= 0:
             return NotRun(Reason.DEADLINE)
         request.call = Call(
             workspace=request.workspace.name,
             service=request.service.name,
             kind=kind,
-            deadline=request.arrived + allowed,
+            deadline=request.arrived + allowed_seconds,
             key=key,
             depth=depth,
         )
@@ -172,12 +169,12 @@
 def common_filters(
     view: View, metrics: Metrics, tracer: HopTracer, clock: Callable[[], float]
 ) -> list[Filter]:
-    """What each entry's chain begins with; the order matters."""
+    """The first filters of every entry's chain; the order matters."""
     return [TraceFilter(tracer), CountFilter(metrics, clock), ReadyFilter(view, clock)]
 
 
 def workspace_filters(clock: Callable[[], float]) -> list[Filter]:
-    """How the entry reads requests that carry a workspace's credential; the order matters."""
+    """The filters of the workspace interface; the order matters."""
     return [IdentifyFilter(), AuthoriseFilter(), ClassifyFilter(clock)]
 
 
@@ -188,20 +185,20 @@
 def _kind(head: RequestHead, service: Service) -> RequestKind | None:
     name = head.get(KIND_HEADER)
     if name is None:
-        return READ_ONLY if head.method in SAFE_METHODS else ONCE
+        return READ_KIND if head.method in SAFE_METHODS else ONCE_KIND
     kind = service.kind(name.decode("ascii", "replace"))
     return kind.as_request_kind() if kind else None
 
 
-def _allowed_seconds(head: RequestHead, most: float) -> float | None:
+def _allowed_seconds(head: RequestHead, max_seconds: float) -> float | None:
     value = head.get(DEADLINE_HEADER)
     if value is None:
-        return most
+        return max_seconds
     try:
         milliseconds = int(value)
     except ValueError:
         return None
-    return min(most, milliseconds / MILLISECONDS)
+    return min(max_seconds, milliseconds / MILLISECONDS)
 
 
 def _depth(head: RequestHead) -> int | None:
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -1,9 +1,9 @@
-"""The end of the entry's chain: choose a backend server, send, retry what may be retried.
+"""The end of the entry's chain: chooses a backend server, sends the request, and retries.
 
-`wheatslip.attempts` decides where to and whether again; here is what carries it out. A request
-passes these stages, each with a type: `EntryRequest` (as the filters left it), `_Sending` (its
-body is read as far as it is kept, so it can be sent), `Try` and `Peer` (where this send goes),
-and the `Outcome` of each try.
+`wheatslip.attempts` decides on the destination and on retries; this module carries them out.
+The stages of a request are `EntryRequest` (as the filters left it), `_PreparedRequest` (with
+its body buffered up to the replay limit), `Try` and `Peer` (the destination of one try), and
+the `Outcome` of each try.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 from wheatslipd.chain import EntryRequest
 from wheatslipd.controllers.view import Peer, View
-from wheatslipd.entry.answers import RETRY_AFTER_MS
+from wheatslipd.entry.answers import RETRY_AFTER_MS_HEADER
 from wheatslipd.entry.sendguard import SendGuard
 from wheatslipd.http.body import BodyBroken
 from wheatslipd.http.client import ClientConnection, Response
@@ -40,32 +40,32 @@
 from wheatslipd.telemetry.outcometext import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
-TIME_DIGITS = 3  # of seconds that travel with a request: milliseconds
-# Bytes of a body that are kept, so that it can be sent again; a larger one is streamed, and
-# sent once. Each request under way may hold as much.
-REPLAY_LIMIT = 64 * 1024
-# Seconds. Shorter, a peer that lost a packet counts as unreachable; longer, a lost machine
-# holds a request for as long.
-CONNECT_TIMEOUT = 0.25
-# Refusals by which a gate says that its server is in trouble.
-_SERVER_TROUBLE = frozenset({Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.SERVER_ENDED})
-_NOT_FORWARDED = frozenset({b"authorization", b"content-length", TRACEPARENT})
+WIRE_TIME_DECIMALS = 3  # of times in seconds in the hop header
+# Largest body that is buffered so that it can be sent again; a larger one is streamed and sent
+# once. Each request in flight may buffer as much.
+REPLAY_LIMIT_BYTES = 64 * 1024
+CONNECT_TIMEOUT_SECONDS = 0.25
+# Reasons of refusals for which the backend server counts as failed.
+_SERVER_FAILURE_REASONS = frozenset(
+    {Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.SERVER_ENDED}
+)
+_STRIPPED_HEADERS = frozenset({b"authorization", b"content-length", TRACEPARENT})
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardSettings:
-    """What the daemon's settings say of forwarding."""
+    """Settings of the forwarder."""
 
     daemon: str  # this daemon's name
-    caller: bytes  # what backend servers get in `names.caller`
+    caller: bytes  # value of the `names.caller` header
     names: HeaderNames
-    answer_hold: int = 0  # bytes of an answer that are held until they are whole
-    by_routes: bool = False  # requests come by routes, without workspaces
+    answer_hold: int = 0  # bytes of a response body buffered before its head is sent
+    by_routes: bool = False  # routes interface: requests have no workspace
 
 
 @dataclass(frozen=True, slots=True)
-class Decisions:
-    """What decides where a request goes, and whether again."""
+class RoutingPolicy:
+    """What decides on the destination of a request and on its retries."""
 
     chooser: Chooser
     budgets: RetryBudgets
@@ -73,72 +73,77 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Sending:
-    """A request that is ready to be sent: what its tries share."""
+class _PreparedRequest:
+    """A request that is ready to be sent; shared by its tries."""
 
     request: EntryRequest
     call: Call
     pool: str  # of the call's service
     attempts: Attempts
     guard: SendGuard
-    limit: asyncio.Timeout  # the call's deadline, for the head of an answer
-    replay: bytes  # the body as far as it was read
-    has_more: bool  # whether the body goes on behind `replay`
+    deadline_timeout: asyncio.Timeout  # the call's deadline; applies to the response head only
+    body_prefix: bytes  # the buffered start of the body
+    has_more: bool  # whether the body continues after `body_prefix`
 
 
 class Forwarder:
-    """Sends calls to peers on behalf of one entry."""
+    """Sends the calls of one entry to peer daemons."""
 
     def __init__(
         self,
         settings: ForwardSettings,
-        decisions: Decisions,
+        policy: RoutingPolicy,
         view: View,
         metrics: Metrics,
         clock: Callable[[], float],
         unix: Callable[[], float],
         on_newer_version: Callable[[int, str], None],
     ):
-        """Both clocks are in seconds, `clock` is monotonic. `on_newer_version` takes a bundle
-        version that is newer than the one in force here, and the address of the daemon that
-        has it.
+        """Both clocks are in seconds; `clock` is monotonic. `on_newer_version` is called with a
+        bundle version newer than this daemon's, and the address of the daemon that has it.
         """
         self._settings = settings
-        self._chooser = decisions.chooser
-        self._budgets = decisions.budgets
-        self._rng = decisions.chooser.rng
+        self._chooser = policy.chooser
+        self._budgets = policy.budgets
+        self._rng = policy.chooser.rng
         self._view = view
         self._metrics = metrics
         self._clock = clock
         self._unix = unix
-        self._quarantine = decisions.quarantine
+        self._quarantine = policy.quarantine
         self._on_newer_version = on_newer_version
 
     async def __call__(self, request: EntryRequest) -> Outcome:
-        """Run the request to its outcome, within its deadline."""
+        """Send the request, with retries, within its deadline."""
         call = request.call
         assert call is not None
         budget = self._budgets.of(call.workspace, call.service, self._clock())
         attempts = Attempts(call, self._chooser, budget)
         try:
-            async with asyncio.timeout(max(0.0, call.remaining(self._clock()))) as limit:
-                sending = await self._prepare(request, call, attempts, limit)
-                if sending is None:
+            async with asyncio.timeout(
+                max(0.0, call.remaining(self._clock()))
+            ) as deadline_timeout:
+                prepared = await self._prepare(request, call, attempts, deadline_timeout)
+                if prepared is None:
                     return NotRun(Reason.BAD_REQUEST)
-                await self._try_all(sending)
+                await self._send_until_done(prepared)
         except TimeoutError:
             return attempts.expired()
         return attempts.result()
 
     async def _prepare(
-        self, request: EntryRequest, call: Call, attempts: Attempts, limit: asyncio.Timeout
-    ) -> _Sending | None:
-        """Read what of the body can be kept; None if the caller broke it off."""
+        self,
+        request: EntryRequest,
+        call: Call,
+        attempts: Attempts,
+        deadline_timeout: asyncio.Timeout,
+    ) -> _PreparedRequest | None:
+        """Buffer the body up to the replay limit; None if the caller disconnected."""
         body = request.exchange.body
         if not body.exhausted:
             await request.exchange.send_continue()
         try:
-            replay = await body.read_up_to(REPLAY_LIMIT)
+            body_prefix = await body.read_up_to(REPLAY_LIMIT_BYTES)
         except BodyBroken:
             return None
         assert request.configuration is not None
@@ -146,37 +151,39 @@
         has_more = not body.exhausted
         by_routes = self._settings.by_routes
         guard = SendGuard(self._quarantine, self._unix, call, by_routes=by_routes)
-        return _Sending(request, call, pool, attempts, guard, limit, replay, has_more)
-
-    async def _try_all(self, sending: _Sending) -> None:
-        attempts = sending.attempts
-        head = sending.request.exchange.head
-        again = True
-        while again:
-            refusal = sending.guard.refusal(head, sending.replay)
+        return _PreparedRequest(
+            request, call, pool, attempts, guard, deadline_timeout, body_prefix, has_more
+        )
+
+    async def _send_until_done(self, prepared: _PreparedRequest) -> None:
+        attempts = prepared.attempts
+        head = prepared.request.exchange.head
+        should_retry = True
+        while should_retry:
+            refusal = prepared.guard.refusal(head, prepared.body_prefix)
             if refusal is not None:
-                self._log_held(sending)
+                self._log_held_request(prepared)
                 attempts.last = refusal
                 return
-            peers = self._view.peers(sending.pool)
+            peers = self._view.peers(prepared.pool)
             upstreams = [peer.upstream for peer in peers]
-            chosen = attempts.next(upstreams, self._clock())
-            if chosen is None:
+            next_try = attempts.next(upstreams, self._clock())
+            if next_try is None:
                 return
-            peer = next(peer for peer in peers if peer.upstream is chosen.upstream)
-            outcome = await self._send(sending, chosen, peer)
-            self._log_try(sending, chosen, outcome)
-            sending.guard.on_outcome(outcome)
+            peer = next(peer for peer in peers if peer.upstream is next_try.upstream)
+            outcome = await self._send(prepared, next_try, peer)
+            self._log_try(prepared, next_try, outcome)
+            prepared.guard.on_outcome(outcome)
             if isinstance(outcome, Replaced):
-                continue  # the attempts have counted it, and paid for the next
-            again = attempts.ended(outcome) and not sending.request.exchange.started
+                continue  # `attempts` has counted this try and charged the next one
+            should_retry = attempts.ended(outcome) and not prepared.request.exchange.started
 
     @staticmethod
-    def _log_held(sending: _Sending) -> None:
-        """Tell operators which request it is: the fingerprint alone does not say."""
-        call = sending.call
-        head = sending.request.exchange.head
-        fingerprint = sending.guard.fingerprint
+    def _log_held_request(prepared: _PreparedRequest) -> None:
+        """Log method and path: the fingerprint alone does not identify the request."""
+        call = prepared.call
+        head = prepared.request.exchange.head
+        fingerprint = prepared.guard.fingerprint
         logs.info(
             "held-request-refused",
             fingerprint=fingerprint,
@@ -188,60 +195,68 @@
             repeat_key=fingerprint,
         )
 
-    def _log_try(self, sending: _Sending, chosen: Try, outcome: Outcome) -> None:
+    def _log_try(self, prepared: _PreparedRequest, next_try: Try, outcome: Outcome) -> None:
         if not logs.is_enabled(LogLevel.DEBUG):
             return
-        upstream = chosen.upstream
+        upstream = next_try.upstream
         report = upstream.report
         now = self._clock()
         logs.debug(
             "try-ended",
-            request=sending.call.request_id,
-            service=sending.call.service,
-            kind=sending.call.kind.name,
-            number=sending.attempts.tries,
+            request=prepared.call.request_id,
+            service=prepared.call.service,
+            kind=prepared.call.kind.name,
+            number=prepared.attempts.tries,
             to=upstream.name,
             zone=upstream.zone,
-            max_wait=chosen.max_wait,
+            max_wait=next_try.max_wait,
             outcome=describe(outcome),
             in_flight=upstream.in_flight,
             reported=f"{report.in_flight}+{report.queued}/{report.limit}" if report else "-",
             age=round(now - upstream.reported_at, 3) if report else "-",
-            left=round(sending.call.remaining(now), 3),
+            left=round(prepared.call.remaining(now), 3),
         )
 
-    async def _send(self, sending: _Sending, chosen: Try, peer: Peer) -> Outcome | Replaced:
-        """One try, from its connection to its outcome."""
-        kind = "first" if sending.attempts.tries == 1 else "retry"
-        self._metrics.sends.inc({"service": sending.call.service, "try": kind})
+    async def _send(
+        self, prepared: _PreparedRequest, next_try: Try, peer: Peer
+    ) -> Outcome | Replaced:
+        """Carry out one try, from connecting to its outcome."""
+        kind = "first" if prepared.attempts.tries == 1 else "retry"
+        self._metrics.sends.inc({"service": prepared.call.service, "try": kind})
         upstream = peer.upstream
         upstream.on_sent()
         try:
-            connection = await peer.connections.take(self._connect_timeout(sending.call))
+            connection = await peer.connections.take(self._connect_timeout(prepared.call))
             if connection is None:
                 upstream.on_unreachable(self._clock(), self._rng)
                 return NO_PEER_CONNECTION
             try:
-                return await self._exchange(sending, chosen, peer, connection)
+                return await self._exchange(prepared, next_try, peer, connection)
             finally:
                 peer.connections.give_back(connection)
         finally:
             upstream.on_done()
 
     def _connect_timeout(self, call: Call) -> float:
-        """Seconds that a connection may take.
+        """The connect timeout, in seconds.
 
-        A call bound by its key can go nowhere else, and what is reported as not run because of
-        a slow connection may have run by another send of its key.
+        A call that may run only once by its key has no other destination. If it were reported
+        as not run after a slow connection, another send of the key might still have run it.
         """
-        return call.remaining(self._clock()) if call.runs_once_by_key else CONNECT_TIMEOUT
+        return (
+            call.remaining(self._clock()) if call.runs_once_by_key else CONNECT_TIMEOUT_SECONDS
+        )
 
     async def _exchange(
-        self, sending: _Sending, chosen: Try, peer: Peer, connection: ClientConnection
+        self,
+        prepared: _PreparedRequest,
+        next_try: Try,
+        peer: Peer,
+        connection: ClientConnection,
     ) -> Outcome | Replaced:
-        sending.attempts.on_bytes_sent()
+        prepared.attempts.on_bytes_sent()
         try:
-            await self._send_request(sending, chosen, connection)
+            await self._send_request(prepared, next_try, connection)
             response = await connection.response()
         except BodyBroken:
             return Unknown(Reason.CANCELLED)
@@ -249,62 +264,71 @@
             peer.upstream.on_failure(self._clock(), self._rng)
             unacknowledged = connection.request_unacknowledged
             return Unknown(Reason.UNACKNOWLEDGED if unacknowledged else Reason.CONNECTION_LOST)
-        self._learn(peer, response)
+        self._apply_report(peer, response)
         refusal = self._refusal(response)
         if refusal is not None:
-            if refusal.reason in _SERVER_TROUBLE:
+            if refusal.reason in _SERVER_FAILURE_REASONS:
                 peer.upstream.on_failure(self._clock(), self._rng)
             return refusal
-        if sending.attempts.replace_answer(response.head.status):
+        if prepared.attempts.replace_answer(response.head.status):
             return REPLACED
         try:
-            held = await response.body.read_up_to(self._settings.answer_hold)
+            buffered = await response.body.read_up_to(self._settings.answer_hold)
         except BodyBroken:
-            # Nothing of it has gone out yet, so another try may still answer.
+            # Nothing was sent to the caller yet, so another try may still answer.
             return Unknown(Reason.CONNECTION_LOST)
-        # From here on the answer streams; its deadline was for the head.
-        sending.limit.reschedule(None)
-        outcome = await self._relay(sending.request, response, held)
+        # The deadline applies to the response head only; the body is streamed without one.
+        prepared.deadline_timeout.reschedule(None)
+        outcome = await self._relay(prepared.request, response, buffered)
         if isinstance(outcome, Answered) and outcome.status < SERVER_ERROR:
-            sending.guard.on_answer()
+            prepared.guard.on_answer()
         return outcome
 
     async def _send_request(
-        self, sending: _Sending, chosen: Try, connection: ClientConnection
+        self, prepared: _PreparedRequest, next_try: Try, connection: ClientConnection
     ) -> None:
-        """Send the request; of a long body only what the other end asks for."""
-        head = self._peer_head(sending, chosen)
-        if not sending.has_more:
-            if sending.replay or sending.request.exchange.head.method not in (b"GET", b"HEAD"):
-                head.headers.append((b"content-length", b"%d" % len(sending.replay)))
-            await connection.start_with_body(head, sending.replay)
+        """Send the request; a body that is not fully buffered waits for 100 Continue."""
+        head = self._peer_head(prepared, next_try)
+        if not prepared.has_more:
+            if prepared.body_prefix or prepared.request.exchange.head.method not in (
+                b"GET",
+                b"HEAD",
+            ):
+                head.headers.append((b"content-length", b"%d" % len(prepared.body_prefix)))
+            await connection.start_with_body(head, prepared.body_prefix)
             return
         head.headers.append((b"expect", b"100-continue"))
         await connection.start(head)
         if not await connection.wait_continue():
             return
-        sending.attempts.can_resend = False
-        await connection.write(sending.replay)
-        async for chunk in sending.request.exchange.body.chunks():
+        prepared.attempts.can_resend = False
+        await connection.write(prepared.body_prefix)
+        async for chunk in prepared.request.exchange.body.chunks():
             await connection.write(chunk)
         await connection.finish()
 
-    def _peer_head(self, sending: _Sending, chosen: Try) -> RequestHead:
-        """The head of the request as it goes to the peer, with what its daemon must know."""
+    def _peer_head(self, prepared: _PreparedRequest, next_try: Try) -> RequestHead:
+        """Build the request head for the peer, with the hop headers that its daemon reads."""
         names = self._settings.names
-        original = sending.request.exchange.head
-        dropped = _NOT_FORWARDED | names.set_by_us
-        headers = [(name, value) for name, value in original.forwarded() if name not in dropped]
+        original_head = prepared.request.exchange.head
+        dropped_names = _STRIPPED_HEADERS | names.set_by_us
+        headers = [
+            (name, value)
+            for name, value in original_head.forwarded()
+            if name not in dropped_names
+        ]
         if names.caller:
             headers.append((names.caller, self._settings.caller))
-        headers.append((HOP_HEADER, encode(self._hop(sending.call, chosen))))
-        is_whole = not sending.has_more
-        headers += sending.guard.headers(original, sending.replay, is_whole=is_whole)
-        if sending.request.trace.outgoing is not None:
-            headers.append((TRACEPARENT, sending.request.trace.outgoing))
-        return RequestHead(original.method, original.target, headers)
-
-    def _hop(self, call: Call, chosen: Try) -> Hop:
+        headers.append((HOP_HEADER, encode(self._hop(prepared.call, next_try))))
+        is_whole = not prepared.has_more
+        headers += prepared.guard.headers(
+            original_head, prepared.body_prefix, is_whole=is_whole
+        )
+        if prepared.request.trace.outgoing is not None:
+            headers.append((TRACEPARENT, prepared.request.trace.outgoing))
+        return RequestHead(original_head.method, original_head.target, headers)
+
+    def _hop(self, call: Call, next_try: Try) -> Hop:
         now = self._clock()
         by_routes = self._settings.by_routes
         return Hop(
@@ -313,18 +337,18 @@
             kind=call.kind.name,
             repeatable=call.kind.repeatable,
             urgent=call.call_class is CallClass.URGENT,
-            remaining=round(call.remaining(now), TIME_DIGITS),
+            remaining=round(call.remaining(now), WIRE_TIME_DECIMALS),
             version=self._view.version,
             entry="" if by_routes else self._settings.daemon,
             key=call.key,
             depth=call.depth,
-            max_wait=_bounded(chosen.max_wait),
-            target=_bounded(call.target - now),
-            hold=_bounded(call.hold_until - now),
+            max_wait=_encode_bound(next_try.max_wait),
+            target=_encode_bound(call.target - now),
+            hold=_encode_bound(call.hold_until - now),
         )
 
-    def _learn(self, peer: Peer, response: Response) -> None:
-        """Take over what an answer reports: load, bundle version, a failure of the server."""
+    def _apply_report(self, peer: Peer, response: Response) -> None:
+        """Apply the load, bundle version and server failure that a response reports."""
         now = self._clock()
         value = response.head.get(LOAD_HEADER)
         report = decode_load(value) if value else None
@@ -339,28 +363,28 @@
 
     @staticmethod
     def _refusal(response: Response) -> NotRun | Unknown | None:
-        """Why there is no answer of the backend server in it; None if there is one."""
+        """The peer's refusal; None if this is a response of the backend server."""
         value = response.head.get(OUTCOME_HEADER)
         if value is None:
             return Unknown(Reason.CONNECTION_LOST)
-        wait = response.head.get(RETRY_AFTER_MS) or b""
+        wait = response.head.get(RETRY_AFTER_MS_HEADER) or b""
         return decode_refusal(value, int(wait) / 1000 if wait.isdigit() else None)
 
     @staticmethod
-    async def _relay(request: EntryRequest, response: Response, held: bytes) -> Outcome:
-        """Send the answer on to the caller, to its end."""
+    async def _relay(request: EntryRequest, response: Response, buffered: bytes) -> Outcome:
+        """Stream the response to the caller; `buffered` is the start of its body."""
         head = ResponseHead(response.head.status, response.head.forwarded())
         head.headers.append((OUTCOME_HEADER, b"answered"))
         request.exchange.start(head)
         try:
-            await request.exchange.write(held)
+            await request.exchange.write(buffered)
             await request.exchange.relay(response.body)
         except BodyBroken:
-            # The caller sees a broken connection, never a shortened answer that looks whole.
+            # The caller's connection is broken off, so a truncated body does not look complete.
             return Unknown(Reason.CONNECTION_LOST)
         return Answered(head.status)
 
 
-def _bounded(seconds: float) -> float | None:
-    """A bound for the wire, where None means that there is none."""
-    return None if seconds == ANY_WAIT else round(seconds, TIME_DIGITS)
+def _encode_bound(seconds: float) -> float | None:
+    """Encode a bound for the hop header, where None means that there is no bound."""
+    return None if seconds == ANY_WAIT else round(seconds, WIRE_TIME_DECIMALS)
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -1,4 +1,4 @@
-"""The entry's filter for requests by routes: host and path of a request select one."""
+"""The filter of the routes interface: selects a route by the host and path of a request."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class RouteFilter:
-    """Turns a request into a `Call` by its route."""
+    """Builds the `Call` of a request from its route."""
 
     names: HeaderNames
     clock: Callable[[], float]
@@ -28,7 +28,7 @@
     caller_wait: CallerWait = field(default_factory=CallerWait)
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Set the service and the call, or refuse what can't be read."""
+        """Set the service and the call; refuse invalid requests."""
         assert request.configuration is not None
         head = request.exchange.head
         host = host_of(head)
@@ -51,26 +51,26 @@
 
     def _call(self, request: EntryRequest, route: Route, remaining: float) -> Call:
         assert request.service is not None
-        allowed = min(route.timeout, remaining)
-        waited = self.caller_wait.waited(route.name, remaining, request.arrived)
-        urgent = route.priority == 0
-        call_class = CallClass.URGENT if urgent else CallClass.NORMAL
+        allowed_seconds = min(route.timeout, remaining)
+        waited_seconds = self.caller_wait.waited(route.name, remaining, request.arrived)
+        is_urgent = route.priority == 0
+        call_class = CallClass.URGENT if is_urgent else CallClass.NORMAL
         arrived = request.arrived
-        target = min(route.target or route.timeout, allowed)
+        target = min(route.target or route.timeout, allowed_seconds)
         request_id = request.exchange.head.get(self.names.request_id) or b""
         return Call(
             workspace=request.service.workspace,
             service=request.service.name,
             kind=RequestKind(route.name, route.repeatable, call_class),
-            deadline=arrived + allowed,
-            target=arrived + target - waited,
+            deadline=arrived + allowed_seconds,
+            target=arrived + target - waited_seconds,
             hold_until=arrived + target,
             max_attempts=route.max_attempts,
             request_id=request_id.decode("latin-1"),
         )
 
     def _remaining(self, head: RequestHead, route: Route) -> float | None:
-        """Seconds that the caller will wait; None if its deadline can't be read."""
+        """Seconds until the caller's deadline; None if the deadline header is invalid."""
         value = head.get(self.names.deadline) if self.names.deadline else None
         if value is None:
             return route.timeout
--- a/packages/wheatslipd/wheatslipd/entry/sendguard.py
+++ b/packages/wheatslipd/wheatslipd/entry/sendguard.py
@@ -1,7 +1,7 @@
 """Keeps an entry from sending requests that end the servers that run them.
 
-One for each request under way. The fingerprint is made only where something depends on it:
-while anything is held against any request, or for a body that is sent on before it is whole.
+The fingerprint of a request is computed only when it is needed: while the quarantine has any
+entry, or for a body that is streamed before it is complete.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class SendGuard:
-    """What an entry knows of one request's dealings with servers."""
+    """Checks one request in flight against the quarantine, and records how its tries end."""
 
     def __init__(
         self,
@@ -27,42 +27,42 @@
         *,
         by_routes: bool,
     ):
-        """`unix` in seconds. By routes, workspaces are not told apart."""
+        """`unix` is the wall clock, in seconds. With `by_routes`, workspaces are ignored."""
         self._quarantine = quarantine
         self._unix = unix
         self._workspace = "" if by_routes else call.workspace
         self._service = call.service
-        self.fingerprint = ""  # empty until it is needed
-        self._is_suspect = False  # a server ended under an earlier try
+        self.fingerprint = ""  # empty until it is computed
+        self._is_suspect = False  # a server ended during an earlier try
 
     def refusal(self, head: RequestHead, body: bytes) -> NotRun | None:
-        """The refusal of a request that is held now; None if it may be sent."""
+        """The refusal of a held request; None if the request may be sent."""
         if not len(self._quarantine):
             return None
-        fingerprint = self._made(head, body)
+        fingerprint = self._ensure_fingerprint(head, body)
         seconds = self._quarantine.held_for(fingerprint, self._unix())
         return held(seconds) if seconds > 0 else None
 
     def headers(self, head: RequestHead, body: bytes, *, is_whole: bool) -> Headers:
-        """What the gate must be told beside the hop; a whole body tells it the fingerprint."""
+        """Headers for the gate, which computes the fingerprint itself from a whole body."""
         headers: Headers = []
         if not is_whole:
-            headers.append((FINGERPRINT_HEADER, self._made(head, body).encode()))
+            headers.append((FINGERPRINT_HEADER, self._ensure_fingerprint(head, body).encode()))
         if self._is_suspect:
             headers.append((SUSPECT_HEADER, b"1"))
         return headers
 
     def on_outcome(self, outcome: Outcome) -> None:
-        """A try has ended."""
+        """Record the outcome of a try."""
         if isinstance(outcome, Unknown) and outcome.reason is Reason.SERVER_ENDED:
             self._is_suspect = True
 
     def on_answer(self) -> None:
-        """A server has answered, and not with a failure."""
+        """Clear the request: a server answered it without failing."""
         if self.fingerprint:
             self._quarantine.answered(self.fingerprint)
 
-    def _made(self, head: RequestHead, body: bytes) -> str:
+    def _ensure_fingerprint(self, head: RequestHead, body: bytes) -> str:
         if not self.fingerprint:
             self.fingerprint = fingerprint_of(head, self._workspace, self._service, body)
         return self.fingerprint
--- a/packages/wheatslipd/wheatslipd/entry/wiring.py
+++ b/packages/wheatslipd/wheatslipd/entry/wiring.py
@@ -1,4 +1,4 @@
-"""The entry of one daemon with its filter chain, built from the settings."""
+"""Builds the entry of a daemon and its filter chain from the settings."""
 
 from wheatslip.budget import RetryBudgets
 from wheatslip.chooser import Chooser
@@ -7,7 +7,7 @@
 from wheatslipd.chain import build_chain
 from wheatslipd.entry.entry import Entry
 from wheatslipd.entry.filters import common_filters, workspace_filters
-from wheatslipd.entry.forward import Decisions, Forwarder, ForwardSettings
+from wheatslipd.entry.forward import Forwarder, ForwardSettings, RoutingPolicy
 from wheatslipd.entry.routefilter import RouteFilter
 from wheatslipd.settings import Interface, Settings
 from wheatslipd.shared import Shared
@@ -17,7 +17,7 @@
 def build_entry(
     settings: Settings, shared: Shared, chooser: Chooser, tracer: HopTracer, cache: FeedCache
 ) -> Entry:
-    """Build the entry. The number of listed instances bounds its repeated sends."""
+    """Build the entry; the retry budgets depend on the number of listed instances."""
     by_routes = settings.interface is Interface.ROUTES
     clock = shared.monotonic
     forward_settings = ForwardSettings(
@@ -34,7 +34,7 @@
     )
     forwarder = Forwarder(
         forward_settings,
-        Decisions(chooser, budgets, shared.quarantine),
+        RoutingPolicy(chooser, budgets, shared.quarantine),
         shared.view,
         shared.metrics,
         clock,
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -7,7 +7,7 @@
 from wheatslip.config.head import Head
 from wheatslip.store.instances import InstanceState
 from wheatslipd.controllers.view import Configuration
-from wheatslipd.entry.forward import CONNECT_TIMEOUT
+from wheatslipd.entry.forward import CONNECT_TIMEOUT_SECONDS
 
 from standins.backend import Behaviour
 from standins.caller import Reported, make_key
@@ -133,7 +133,7 @@
         async def stand_still():
             for _ in range(STALLS):
                 await asyncio.sleep(0.001)
-                time.sleep(CONNECT_TIMEOUT)
+                time.sleep(CONNECT_TIMEOUT_SECONDS)
 
         await asyncio.gather(
             stand_still(),
