--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -60,7 +60,7 @@
         slots = self._own_server.take_bounds(pool) if self._own_server else pool.slots
         admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
         admission.set_shares({w.name: w.share for w in bundle.workspaces})
-        self._server_side.backend.bound_connections(pool.connections)
+        self._server_side.backend.set_connection_limit(pool.connections)
         self._server_side.measurer.budget.per_second = pool.probes_per_second
 
     def backend_registered(self, registered: Registered) -> None:
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -94,7 +94,7 @@
         transport.abort()
         return False
 
-    def bound_connections(self, connections: int) -> None:
+    def set_connection_limit(self, connections: int) -> None:
         """Change the connection limit; connections already open above it stay in use."""
         self._pool.limit = connections
 
