--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -61,7 +61,7 @@
         admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
         admission.set_shares({w.name: w.share for w in bundle.workspaces})
         self._server_side.backend.set_connection_limit(pool.connections)
-        self._server_side.measurer.budget.per_second = pool.probes_per_second
+        self._server_side.idle_probe.budget.per_second = pool.probes_per_second
 
     def backend_registered(self, registered: Registered) -> None:
         """Apply what the backend server beside us reports, and publish it."""
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -127,7 +127,7 @@
             tasks += self.own_server.start()
             helpers.append(loop.create_task(self.own_server.find()))
         if self.settings.health_path:
-            tasks.append(loop.create_task(self.server_side.measurer.run()))
+            tasks.append(loop.create_task(self.server_side.idle_probe.run()))
         pages = await self._start_pages()
         stopped = loop.create_task(self._stopping.wait())
         assert self.bus.failed is not None
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -32,7 +32,7 @@
     gate: Gate
     speed_check: SpeedCheck  # used only if the backend server registers with the daemon
     backend: Backend
-    measurer: IdleProbe
+    idle_probe: IdleProbe
     end_detector: ServerEndDetector
 
 
@@ -78,8 +78,8 @@
         shared.monotonic,
         shared.hint_newer_version,
     )
-    measurer = _build_idle_probe(settings, shared, gate, backend)
-    return ServerSide(peer_port, keys, gate, speed_check, backend, measurer, end_detector)
+    idle_probe = _build_idle_probe(settings, shared, gate, backend)
+    return ServerSide(peer_port, keys, gate, speed_check, backend, idle_probe, end_detector)
 
 
 def _build_gate(settings: Settings, shared: Shared, speed_check: SpeedCheck) -> Gate:
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -299,7 +299,7 @@
         daemon = installation.nodes["papers-1"].daemon
         assert daemon.server_side.backend.connections == 7
         assert daemon.server_side.gate.admission.limit.value == 3
-        assert daemon.server_side.measurer.budget.per_second == 0.5
+        assert daemon.server_side.idle_probe.budget.per_second == 0.5
 
     two_upstreams(tmp_path, scenario)
 
