--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -41,7 +41,7 @@
         if not self._view.leaving:
             logs.info("draining", cause=cause, in_flight=self._gate.admission.in_flight)
         self._view.leaving = True
-        self._gate.server_leaves()
+        self._gate.on_server_leaving()
 
     def returned(self) -> None:
         """Take new work again: it was a start before this one that left."""
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -120,7 +120,7 @@
             logs.info("backend-replaced", in_flight=self.admission.in_flight)
             self._close(ClosedBy.SERVER_UNKNOWN)
 
-    def server_leaves(self) -> None:
+    def on_server_leaving(self) -> None:
         """Refuse new and queued requests; queued ones have not run and may go elsewhere."""
         self._close(ClosedBy.SERVER_LEAVES)
 
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -84,7 +84,7 @@
 def test_an_end_that_was_announced_is_held_against_nobody():
     async def scenario():
         place = Place(await closed_port())
-        place.gate.server_leaves()
+        place.gate.on_server_leaving()
         one = place.begin("f")
         place.ends.exposure.broken(one, asyncio.get_running_loop().time())
         assert await place.ends.has_server_ended()
