--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -48,7 +48,7 @@
         if self._view.leaving and not self._view.stopping:
             logs.info("drain-taken-back")
             self._view.leaving = False
-            self._gate.server_stays()
+            self._gate.on_server_available()
 
     def bundle_in_force(self, bundle: Bundle) -> None:
         """Apply the limits of the own pool and the workspaces' shares."""
@@ -72,7 +72,7 @@
             self.leaving(f"backend server {registered.server} leaves")
         else:
             self._view.leaving = False
-            self._gate.server_stays()
+            self._gate.on_server_available()
         self._own_server.publish()
 
     def instances_seen(
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -124,7 +124,7 @@
         """Refuse new and queued requests; queued ones have not run and may go elsewhere."""
         self._close(ClosedBy.SERVER_LEAVES)
 
-    def server_stays(self) -> None:
+    def on_server_available(self) -> None:
         """Accept requests again: the server is identified and not leaving."""
         self.admission.closures.remove(ClosedBy.SERVER_UNKNOWN)
         self.admission.closures.remove(ClosedBy.SERVER_LEAVES)
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -119,7 +119,7 @@
         if registered.warm_at is not None:
             self._gate.admission.cold.reported(registered.warm_at - now, now)
         if not registered.leaving:
-            self._gate.server_stays()
+            self._gate.on_server_available()
 
     def take_registration(self, registered: Registered) -> None:
         """Apply the slots that the server reports; a new server is asked how fast it is."""
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -241,7 +241,7 @@
     refusal = one.admission.arrive(call(), 0.0)
     assert refusal.reason is Reason.NOT_READY and refusal.retryable
     assert not one.load_report().leaving
-    one.server_stays()
+    one.on_server_available()
     assert one.admission.arrive(call(), 0.0).started is not None
 
 
