--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -48,7 +48,7 @@
         self._log_changes(known, drains)
         self._metrics.zones_drained.set({}, len(drains.drains))
         if self._zone in drains.zones:
-            self._gate.zone_drained()
+            self._gate.on_zone_drained()
         elif before is None:
             self._gate.zone_not_drained()
         elif self._zone in known:
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -129,7 +129,7 @@
         self.admission.closures.remove(ClosedBy.SERVER_UNKNOWN)
         self.admission.closures.remove(ClosedBy.SERVER_LEAVES)
 
-    def zone_drained(self) -> None:
+    def on_zone_drained(self) -> None:
         """Refuse new and queued requests; running ones continue to their end."""
         self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
         self._close(ClosedBy.ZONE_DRAINED)
