--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -50,7 +50,7 @@
         if self._zone in drains.zones:
             self._gate.on_zone_drained()
         elif before is None:
-            self._gate.zone_not_drained()
+            self._gate.on_zone_not_drained()
         elif self._zone in known:
             self._gate.zone_restored()
 
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -134,7 +134,7 @@
         self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
         self._close(ClosedBy.ZONE_DRAINED)
 
-    def zone_not_drained(self) -> None:
+    def on_zone_not_drained(self) -> None:
         """Open the gate: the first read of the zone drains does not contain the zone."""
         self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
 
