--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -52,7 +52,7 @@
         elif before is None:
             self._gate.on_zone_not_drained()
         elif self._zone in known:
-            self._gate.zone_restored()
+            self._gate.on_zone_restored()
 
     def _log_changes(self, known: frozenset[str], drains: ZoneDrains) -> None:
         for drain in drains.drains:
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -138,7 +138,7 @@
         """Open the gate: the first read of the zone drains does not contain the zone."""
         self.admission.closures.remove(ClosedBy.ZONE_UNKNOWN)
 
-    def zone_restored(self) -> None:
+    def on_zone_restored(self) -> None:
         """Open the gate: the zone is no longer drained.
 
         The server may have become cold meanwhile, so it gets the load of a cold server until a
