--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -215,7 +215,7 @@
         self.admission.timing.slowness = 1.0
         self._resume_normal_speed()
 
-    def speed_unknown(self) -> None:
+    def on_speed_unknown(self) -> None:
         """Forget the speed: a new backend server has registered and has not reported yet."""
         self.admission.timing.forget_speed()
         self.needs_probe.set()
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -132,7 +132,7 @@
 
     def _take_new(self, registered: Registered) -> None:
         if self._settings.headers.load:
-            self._gate.speed_unknown()
+            self._gate.on_speed_unknown()
         cold = self._gate.admission.cold
         now = self._clock()
         cold.replaced()
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -158,7 +158,7 @@
 
 def test_work_begun_at_an_unknown_speed_says_nothing_of_the_usual_one():
     one, clock = gate(slots=4)
-    one.speed_unknown()
+    one.on_speed_unknown()
     ticket = one.admission.arrive(call(), clock.now)
     one.learn(SLOW)
     clock.now = 0.8
@@ -189,7 +189,7 @@
 
 def test_a_server_that_never_tells_its_load_counts_as_usual():
     one, _ = gate()
-    one.speed_unknown()
+    one.on_speed_unknown()
     one.on_missing_load()
     assert one.admission.timing.is_speed_known and not one.needs_probe.is_set()
 
