--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -184,7 +184,7 @@
             self.admission.cold.assume(self._clock())
             self.assume_usual_speed()
 
-    def learn(self, load: BackendLoad) -> None:
+    def update_load(self, load: BackendLoad) -> None:
         """Apply a load report of the backend server."""
         if load.slowness != self.admission.timing.slowness and logs.is_enabled(LogLevel.DEBUG):
             logs.debug(
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -329,7 +329,7 @@
     def _update_load(self, head: ResponseHead) -> None:
         load = decode_backend_load(head.get(self._names.load) or b"")
         if load is not None:
-            self._gate.learn(load)
+            self._gate.update_load(load)
         else:
             self._gate.on_missing_load()
 
--- a/packages/wheatslipd/wheatslipd/gate/speedcheck.py
+++ b/packages/wheatslipd/wheatslipd/gate/speedcheck.py
@@ -98,7 +98,7 @@
             gate.update_cold_state(remaining)
         load = decode_backend_load(head.get(self._names.load) or b"")
         if load is not None:
-            gate.learn(load)
+            gate.update_load(load)
         else:
             gate.assume_usual_speed()
         return True
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -67,7 +67,7 @@
             settings.headers,
             shared.bus,
             clock,
-            gate.learn,
+            gate.update_load,
             self._take_beat,
             settings.health_path,
             decode,
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -65,11 +65,11 @@
     async def scenario():
         one, _ = gate(slots=4)
         taught(one.admission)
-        one.learn(SLOW)
+        one.update_load(SLOW)
         waiting = asyncio.create_task(one.start_call(call(), ANY_WAIT))
         await asyncio.sleep(0)
         assert one.admission.in_flight == 0
-        one.learn(USUAL)
+        one.update_load(USUAL)
         assert (await waiting).started is not None
 
     run(scenario)
@@ -160,10 +160,10 @@
     one, clock = gate(slots=4)
     one.on_speed_unknown()
     ticket = one.admission.arrive(call(), clock.now)
-    one.learn(SLOW)
+    one.update_load(SLOW)
     clock.now = 0.8
     one.finish_call(ticket, worked=True)
-    one.learn(USUAL)
+    one.update_load(USUAL)
     assert one.admission.arrive(call(target=1.2), clock.now, max_wait=0.03).started is not None
 
 
@@ -202,7 +202,7 @@
         waiting = asyncio.create_task(one.start_call(call(), 0.5))
         stays = asyncio.create_task(one.start_call(call(hold=ANY_WAIT), ANY_WAIT))
         await asyncio.sleep(0)
-        one.learn(SLOW)
+        one.update_load(SLOW)
         refusal = await waiting
         assert isinstance(refusal, NotRun) and refusal.reason is Reason.OVERLOADED
         one.finish_call(running, worked=True)
@@ -213,10 +213,10 @@
 
 def test_a_gate_knows_when_its_server_is_slow():
     one, _ = gate()
-    one.learn(SLOW)
+    one.update_load(SLOW)
     assert one.needs_probe.is_set()
     assert one.load_report().slowness == 4.0
-    one.learn(USUAL)
+    one.update_load(USUAL)
     assert not one.needs_probe.is_set()
 
 
--- a/test/test_recoveryprobe.py
+++ b/test/test_recoveryprobe.py
@@ -204,7 +204,7 @@
 def test_a_slow_server_that_no_one_waits_for_is_left_alone_for_a_slow_stretch():
     async def scenario():
         gate, clock = checked_gate(TellingBackend(100))
-        gate.learn(BackendLoad(1, 0, 4, slowness=5.0))
+        gate.update_load(BackendLoad(1, 0, 4, slowness=5.0))
         assert not gate.should_probe()
         waiting = asyncio.create_task(gate.start_call(one_call(clock()), ANY_WAIT))
         for _ in range(TURNS):
