--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -34,7 +34,7 @@
 | `SUSPECT_RUNS`       | overloaded, 0.05     | gate: the request is suspected of ending     |
 |                      |                      | servers, and another such request runs here  |
 
-Refusals with any other reason have no time. The daemon's `entry/answers.py` gives each reason
+Refusals with any other reason have no time. The daemon's `entry/refusals.py` gives each reason
 its HTTP status, 503 where it names no other. Callers by routes get `UNTIMED` with a 503 that
 has no time; callers with a workspace's credential get no `Retry-After` then.
 
--- a/packages/wheatslipd/wheatslipd/entry/entry.py
+++ b/packages/wheatslipd/wheatslipd/entry/entry.py
@@ -6,7 +6,7 @@
 
 from wheatslipd.chain import EntryRequest, Proceed
 from wheatslipd.controllers.view import View
-from wheatslipd.entry.answers import send_refusal
+from wheatslipd.entry.refusals import send_refusal
 from wheatslipd.http.exchange import Exchange
 
 
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -29,7 +29,7 @@
 
 from wheatslipd.chain import EntryRequest
 from wheatslipd.controllers.view import Peer, View
-from wheatslipd.entry.answers import RETRY_AFTER_MS_HEADER
+from wheatslipd.entry.refusals import RETRY_AFTER_MS_HEADER
 from wheatslipd.entry.sendguard import SendGuard
 from wheatslipd.http.body import BodyBroken
 from wheatslipd.http.client import ClientConnection, Response
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -29,7 +29,7 @@
 from wheatslip.retryafter import TURNED_AWAY
 
 from wheatslipd.controllers.view import View
-from wheatslipd.entry.answers import send_refusal
+from wheatslipd.entry.refusals import send_refusal
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.gate.backendhead import (
     build_backend_head,
--- a/test/test_forms.py
+++ b/test/test_forms.py
@@ -46,7 +46,7 @@
 from wheatslip_cli.main import Wheatslip
 from wheatslip_cli.main import main as operators_main
 from wheatslip_cli.settings import load_settings as load_operators_settings
-from wheatslipd.entry.answers import send_refusal
+from wheatslipd.entry.refusals import send_refusal
 from wheatslipd.feed.codec import StructCodec
 from wheatslipd.feed.endstore import StoredEnds
 from wheatslipd.feed.relay import METHOD, EndReports
