--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -32,9 +32,10 @@
 | `SUSPECT_RUNS` | overloaded, 0.05 | gate: the request is suspected of ending \
 servers, and another such request runs here |
 
-Refusals with other reasons have no time. The daemon's `entry/answers.py` maps each reason to
-its HTTP status, 503 by default. If a 503 has no time, callers that use routes get
-`DEFAULT_RETRY_AFTER_SECONDS`, and callers with a workspace's credential get no `Retry-After`.
+Refusals with any other reason have no time. The daemon's `entry/refusals.py` gives each reason
+its HTTP status, 503 where it names no other. Callers by routes get
+`DEFAULT_RETRY_AFTER_SECONDS` with a 503 that has no time; callers with a workspace's credential
+get no `Retry-After` then.
 
 The times are fixed except for `overloaded_refusal` and `held_refusal`: 1 s if the daemon can't
 know when the cause ends, less if a probe or a heartbeat will soon tell, and the minimum if
--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -41,14 +41,14 @@
         if not self._view.leaving:
             logs.info("draining", cause=cause, in_flight=self._gate.admission.in_flight)
         self._view.leaving = True
-        self._gate.server_leaves()
+        self._gate.on_server_leaving()
 
     def returned(self) -> None:
         """Take new work again: it was a start before this one that left."""
         if self._view.leaving and not self._view.stopping:
             logs.info("drain-taken-back")
             self._view.leaving = False
-            self._gate.server_stays()
+            self._gate.on_server_available()
 
     def bundle_in_force(self, bundle: Bundle) -> None:
         """Apply the limits of the own pool and the workspaces' shares."""
@@ -60,8 +60,8 @@
         slots = self._own_server.take_bounds(pool) if self._own_server else pool.slots
         admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
         admission.set_shares({w.name: w.share for w in bundle.workspaces})
-        self._server_side.backend.bound_connections(pool.connections)
-        self._server_side.measurer.budget.per_second = pool.probes_per_second
+        self._server_side.backend.set_connection_limit(pool.connections)
+        self._server_side.idle_probe.budget.per_second = pool.probes_per_second
 
     def backend_registered(self, registered: RegisteredServer) -> None:
         """Apply what the backend server beside us reports, and publish it."""
@@ -72,7 +72,7 @@
             self.leaving(f"backend server {registered.server} leaves")
         else:
             self._view.leaving = False
-            self._gate.server_stays()
+            self._gate.on_server_available()
         self._own_server.publish()
 
     def instances_seen(
--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -48,11 +48,11 @@
         self._log_changes(known, drains)
         self._metrics.zones_drained.set({}, len(drains.drains))
         if self._zone in drains.zones:
-            self._gate.zone_drained()
+            self._gate.on_zone_drained()
         elif before is None:
-            self._gate.zone_not_drained()
+            self._gate.on_zone_not_drained()
         elif self._zone in known:
-            self._gate.zone_restored()
+            self._gate.on_zone_restored()
 
     def _log_changes(self, known: frozenset[str], drains: ZoneDrains) -> None:
         for drain in drains.drains:
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -67,7 +67,7 @@
             settings.headers,
             shared.bus,
             clock,
-            gate.learn,
+            gate.update_load,
             self._take_beat,
             settings.health_path,
             decode,
@@ -119,7 +119,7 @@
         if registered.warm_at is not None:
             self._gate.admission.cold.on_report(registered.warm_at - now, now)
         if not registered.leaving:
-            self._gate.server_stays()
+            self._gate.on_server_available()
 
     def take_registration(self, registered: RegisteredServer) -> None:
         """Apply the slots that the server reports; a new server is asked how fast it is."""
@@ -132,7 +132,7 @@
 
     def _take_new(self, registered: RegisteredServer) -> None:
         if self._settings.headers.load:
-            self._gate.speed_unknown()
+            self._gate.on_speed_unknown()
         cold = self._gate.admission.cold
         now = self._clock()
         cold.on_server_replaced()
