--- a/bench/streams.py
+++ b/bench/streams.py
@@ -83,7 +83,7 @@
     before = _bytes_of(link)
     for version in range(2, 2 + CHANGES):
         put_in_force(cache, version)
-        server.announce()
+        server.notify_followers()
         await asyncio.sleep(CHANGE_SECONDS)
     per_change = (_bytes_of(link) - before) / CHANGES - per_second * CHANGE_SECONDS
     following.cancel()
--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -85,4 +85,4 @@
     def newer_version_seen(self, version: int, address: str) -> None:
         """Read a version that the daemon at `address` has, if it is newer than ours."""
         if version > self._view.version:
-            self._feed.check_head(version, address)
+            self._feed.handle_version_hint(version, address)
--- a/packages/wheatslipd/wheatslipd/feed/access.py
+++ b/packages/wheatslipd/wheatslipd/feed/access.py
@@ -1,4 +1,4 @@
-"""What the reads and the watches of the platform have in common."""
+"""Access to the platform, shared by single reads and watches."""
 
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
@@ -7,43 +7,43 @@
 from wheatslip.store.backoff import Backoff
 from wheatslip.store.objects import Listing, ObjectStore, Unavailable, follow
 
+from wheatslipd.feed.cachewriter import CacheWriter
 from wheatslipd.feed.feedpace import FeedPace
-from wheatslipd.feed.intake import Intake
 from wheatslipd.telemetry import logs
 
 
-def log_trouble(trouble: Unavailable) -> None:
-    """Log a call that was not answered; repeats of one call make one line in 10 s."""
-    key = f"platform {trouble.call}"
-    logs.warning("platform-unavailable", detail=trouble.detail, repeat_key=key)
+def log_unavailable(unavailable: Unavailable) -> None:
+    """Log a failed call; repeated failures of the same call are logged once every 10 s."""
+    key = f"platform {unavailable.call}"
+    logs.warning("platform-unavailable", detail=unavailable.detail, repeat_key=key)
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformAccess:
-    """How one daemon calls the platform, and the intake that gets the answers."""
+    """The platform's object store, the retry settings, and the writer of the answers."""
 
     store: ObjectStore
-    intake: Intake
-    pace: FeedPace
+    cache_writer: CacheWriter
+    settings: FeedPace
     rng: Random
 
     def backoff(self) -> Backoff:
-        """The waits between the tries of one call."""
-        return Backoff(self.rng, last=self.pace.retry_last)
+        """Return the backoff between the attempts of one call."""
+        return Backoff(self.rng, last=self.settings.retry_last)
 
     def changes(
         self,
         kind: str,
-        on_trouble: Callable[[Unavailable], None],
+        on_unavailable: Callable[[Unavailable], None],
         *,
         wait: float,
         since: int | None,
         pause: float = 0.0,
-        slower: float = 1.0,
+        backoff_factor: float = 1.0,
     ) -> AsyncIterator[Listing]:
-        """Watch a kind of objects, see `follow`.
+        """Watch objects of one kind, see `follow`.
 
-        `slower` is a factor on the longest wait between two tries.
+        `backoff_factor` multiplies the longest backoff between two attempts.
         """
-        last = slower * self.pace.retry_last
-        return follow(self.store, kind, self.rng, on_trouble, wait, pause, last, since)
+        last = backoff_factor * self.settings.retry_last
+        return follow(self.store, kind, self.rng, on_unavailable, wait, pause, last, since)
--- a/packages/wheatslipd/wheatslipd/feed/codec.py
+++ b/packages/wheatslipd/wheatslipd/feed/codec.py
@@ -1,6 +1,6 @@
-"""The codec of the gRPC messages between daemons: msgspec structs as MessagePack.
+"""Codec for the gRPC messages between daemons: msgspec structs encoded as MessagePack.
 
-With it the messages are the typed structs of the library, and no code is generated.
+The messages are the library's typed structs, so no code generation is needed.
 """
 
 from typing import Any
@@ -10,19 +10,17 @@
 
 
 class StructCodec(CodecBase):
-    """Encodes and decodes msgspec structs; raises msgspec.DecodeError on what does not fit."""
+    """Encodes and decodes msgspec structs; raises msgspec.DecodeError on a type mismatch."""
 
     __content_subtype__ = "msgpack"
 
     def __init__(self) -> None:
-        self.encoded_bytes = 0  # bytes of all messages encoded so far
+        self.encoded_bytes = 0  # total since the start
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """The bytes of a message."""
         data = msgspec.msgpack.encode(message)
         self.encoded_bytes += len(data)
         return data
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """A message of the type, checked."""
         return msgspec.msgpack.decode(data, type=message_type)
--- a/packages/wheatslipd/wheatslipd/feed/endreporter.py
+++ b/packages/wheatslipd/wheatslipd/feed/endreporter.py
@@ -1,8 +1,8 @@
-"""Brings reports of ends of servers up the tree: from this daemon to the one that it follows.
+"""Sends end reports (a backend server ended without notice) from this daemon to its parent.
 
-Updates carry them down to the followers. Up and down together a report reaches each daemon that
-the tree connects, without the platform: what a cut keeps back goes up or down when a parent is
-followed again.
+Updates carry end reports from a parent to its followers. Together, both directions deliver a
+report to every daemon that the relay tree connects, without the platform. Reports that a
+network partition holds back are delivered once a parent is followed again.
 """
 
 import asyncio
@@ -10,28 +10,28 @@
 
 from wheatslip.distribution.feedcache import FeedCache
 
-from wheatslipd.feed.relay import EndReports, report_ends
+from wheatslipd.feed.relay import EndReports, send_end_reports
 from wheatslipd.tls import PeerTls
 
-# Seconds until a parent that did not take reports is tried again.
-RETRY_SECONDS = 0.5
+RETRY_SECONDS = 0.5  # pause after a failed delivery to the parent
 
 
 class EndReporter:
-    """Brings one daemon's reports to its parent."""
+    """Delivers the end reports that this daemon holds to its parent."""
 
     def __init__(self, name: str, cache: FeedCache, parent: Callable[[], str], tls: PeerTls):
-        """`parent` returns the name of the daemon that is followed now; empty: none."""
+        """`parent` returns the name of the current parent, or an empty string."""
         self._name = name
         self._cache = cache
         self._parent = parent
         self._tls = tls
         self._changed = asyncio.Event()
-        self._told = ""  # the parent that knows the reports up to `_told_up_to`
-        self._told_up_to = 0
+        # `_reported_parent` has received the reports up to `_reported_position`.
+        self._reported_parent = ""
+        self._reported_position = 0
 
     def wake(self) -> None:
-        """Message: there are new reports, or another parent is followed."""
+        """Schedule a delivery, because of new reports or a change of the parent."""
         self._changed.set()
 
     async def run(self) -> None:
@@ -39,23 +39,23 @@
         while True:
             await self._changed.wait()
             self._changed.clear()
-            if not await self._tell():
+            if not await self._send_reports():
                 await asyncio.sleep(RETRY_SECONDS)
                 self._changed.set()
 
-    async def _tell(self) -> bool:
-        """Bring the parent what it lacks; False if that should be tried again."""
+    async def _send_reports(self) -> bool:
+        """Send the parent the reports that it lacks; return False if a retry is needed."""
         name = self._parent()
         instance = self._cache.instances.get(name)
         if instance is None:
-            return True  # woken again when a parent is followed
-        if name != self._told:
-            self._told, self._told_up_to = name, 0
+            return True  # `wake` is called when a parent is followed
+        if name != self._reported_parent:
+            self._reported_parent, self._reported_position = name, 0
         position = self._cache.ends.position
-        reports = self._cache.ends.after(self._told_up_to, but_from=name)
-        if reports and not await report_ends(
+        reports = self._cache.ends.after(self._reported_position, but_from=name)
+        if reports and not await send_end_reports(
             instance, EndReports(self._name, reports), self._tls
         ):
             return self._parent() != name
-        self._told_up_to = position
+        self._reported_position = position
         return True
--- a/packages/wheatslipd/wheatslipd/feed/endstore.py
+++ b/packages/wheatslipd/wheatslipd/feed/endstore.py
@@ -1,8 +1,8 @@
-"""Keeps this daemon's own reports of ends of servers at the platform, for daemons that start.
+"""Stores the end reports made by this daemon on the platform, for daemons that start later.
 
-Daemons tell each other what they know, and forget it with their processes. When all of them
-stop at once the platform's copy is what is left: each daemon that starts reads all copies once.
-A daemon writes only the object that has its own name.
+Daemons exchange end reports and hold them in memory only. If all daemons stop at once, only the
+copies on the platform remain; each daemon reads the copies of all daemons once at its start. A
+daemon writes only the object that has its own name.
 """
 
 import asyncio
@@ -14,39 +14,41 @@
 from wheatslip.quarantine import REPORT_SECONDS, SERVER_ENDS_KIND, EndReport, unexpired
 from wheatslip.store.objects import Conflict, StoredObject, Unavailable
 
-from wheatslipd.feed.access import PlatformAccess, log_trouble
+from wheatslipd.feed.access import PlatformAccess, log_unavailable
 from wheatslipd.telemetry import logs
 
-# Own reports that are kept, up to 1.3 kB each; the oldest give way.
-MAX_KEPT = 16
+MAX_STORED_REPORTS = 16  # up to 1.3 kB each; the oldest are dropped first
 
 
 class StoredEnds(msgspec.Struct, frozen=True):
-    """The value of a daemon's object."""
+    """The value of the object that stores the end reports of one daemon."""
 
     reports: tuple[EndReport, ...] = ()
 
 
 class EndStore:
-    """The copy of one daemon's reports."""
+    """Maintains the platform's copy of the end reports made by this daemon."""
 
     def __init__(self, name: str, access: PlatformAccess, unix: Callable[[], float]):
-        """`unix` in seconds."""
+        """`unix` returns the Unix time in seconds."""
         self._name = name
         self._store = access.store
         self._access = access
         self._unix = unix
-        self._kept: tuple[EndReport, ...] = ()
-        self._version = 0  # of the object; 0: there is none
+        self._reports: tuple[EndReport, ...] = ()
+        self._version = 0  # of the object; 0 if the object does not exist
         self._changed = asyncio.Event()
 
-    def keep(self, report: EndReport) -> None:
-        """Message: this daemon has made a report."""
-        self._kept = (*self._kept, report)[-MAX_KEPT:]
+    def add(self, report: EndReport) -> None:
+        """Add a report made by this daemon and schedule a write."""
+        self._reports = (*self._reports, report)[-MAX_STORED_REPORTS:]
         self._changed.set()
 
     async def run(self) -> None:
-        """Read what all daemons keep, then write what changes here. Runs until cancelled."""
+        """Read the reports of all daemons once, then write each change of the own reports.
+
+        Runs until cancelled.
+        """
         backoff = self._access.backoff()
         while not await self._read_all():
             await asyncio.sleep(backoff.next())
@@ -57,53 +59,55 @@
                 await asyncio.sleep(backoff.next())
 
     async def _wait_for_change(self) -> None:
-        """Wait for a new report, or until all that are kept have expired."""
+        """Wait for a new report, at most until all stored reports have expired."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(REPORT_SECONDS if self._kept else None):
+            async with asyncio.timeout(REPORT_SECONDS if self._reports else None):
                 await self._changed.wait()
         self._changed.clear()
 
     async def _read_all(self) -> bool:
-        """Take what all daemons keep; whether the platform answered."""
+        """Apply the stored reports of all daemons; return whether the platform answered."""
         match await self._store.list(SERVER_ENDS_KIND, stale_ok=True):
             case Ok(listing):
                 for item in listing.items:
-                    self._take(item)
+                    self._apply_stored(item)
                 return True
-            case Err(trouble):
-                log_trouble(trouble)
+            case Err(unavailable):
+                log_unavailable(unavailable)
         return False
 
-    def _take(self, item: StoredObject) -> None:
-        reports = _decoded(item)
+    def _apply_stored(self, item: StoredObject) -> None:
+        reports = _decode_reports(item)
         if item.name == self._name:
-            self._take_own(item, reports)
-        self._access.intake.take_ends(reports, item.name)
-
-    def _take_own(self, found: StoredObject, reports: tuple[EndReport, ...]) -> None:
-        """Go on from what the platform holds in our name: a start before this one wrote it."""
-        ours = {report.id for report in self._kept}
-        before = tuple(report for report in reports if report.id not in ours)
-        self._kept = (*before, *self._kept)[-MAX_KEPT:]
-        self._version = found.version
+            self._merge_own_reports(item, reports)
+        self._access.cache_writer.apply_end_reports(reports, item.name)
+
+    def _merge_own_reports(
+        self, existing: StoredObject, reports: tuple[EndReport, ...]
+    ) -> None:
+        """Prepend the reports that an earlier process of this daemon stored."""
+        current_ids = {report.id for report in self._reports}
+        earlier = tuple(report for report in reports if report.id not in current_ids)
+        self._reports = (*earlier, *self._reports)[-MAX_STORED_REPORTS:]
+        self._version = existing.version
 
     async def _write(self) -> bool:
-        """Let the platform hold what is kept here; False if that should be tried again."""
-        self._kept = unexpired(self._kept, self._unix())
-        if not self._kept:
+        """Write the unexpired reports; return False if a retry is needed."""
+        self._reports = unexpired(self._reports, self._unix())
+        if not self._reports:
             return await self._delete()
-        value = StoredEnds(self._kept)
+        value = StoredEnds(self._reports)
         match await self._store.put(SERVER_ENDS_KIND, self._name, value, self._version):
             case Ok(stored):
                 self._version = stored.version
                 return True
             case Err(Conflict(None)):
                 self._version = 0
-            case Err(Conflict(StoredObject() as found)):
-                # The answer to an earlier write was lost, or a start before this one wrote.
-                self._take_own(found, _decoded(found))
-            case Err(Unavailable() as trouble):
-                log_trouble(trouble)
+            case Err(Conflict(StoredObject() as existing)):
+                # The answer to an earlier write was lost, or an earlier process wrote.
+                self._merge_own_reports(existing, _decode_reports(existing))
+            case Err(Unavailable() as unavailable):
+                log_unavailable(unavailable)
         return False
 
     async def _delete(self) -> bool:
@@ -113,15 +117,15 @@
             case Ok(_):
                 self._version = 0
                 return True
-            case Err(Conflict(StoredObject() as found)):
-                self._version = found.version
-            case Err(Unavailable() as trouble):
-                log_trouble(trouble)
+            case Err(Conflict(StoredObject() as existing)):
+                self._version = existing.version
+            case Err(Unavailable() as unavailable):
+                log_unavailable(unavailable)
         return False
 
 
-def _decoded(item: StoredObject) -> tuple[EndReport, ...]:
-    """The reports in an object; none if it can't be read."""
+def _decode_reports(item: StoredObject) -> tuple[EndReport, ...]:
+    """Return the reports in an object, or none if it cannot be decoded."""
     try:
         return msgspec.json.decode(item.value, type=StoredEnds).reports
     except msgspec.DecodeError as error:
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -1,6 +1,6 @@
-"""Makes the parts of the feed and runs them; the package describes how they work together.
+"""Creates the parts of the feed and runs them; see the package docstring for an overview.
 
-It owns the platform's client and the cache. Controllers learn of news by events on the bus.
+The feed owns the platform client and the cache. It notifies controllers by events on the bus.
 """
 
 import asyncio
@@ -15,133 +15,151 @@
 
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed.access import PlatformAccess
+from wheatslipd.feed.cachewriter import CacheWriter
 from wheatslipd.feed.endreporter import EndReporter
 from wheatslipd.feed.endstore import EndStore
 from wheatslipd.feed.feedpace import FeedPace
-from wheatslipd.feed.following import ParentFollower
-from wheatslipd.feed.hints import Hints
-from wheatslipd.feed.intake import Intake
-from wheatslipd.feed.place import Place
-from wheatslipd.feed.proof import Proof
+from wheatslipd.feed.hinthandler import HintHandler
+from wheatslipd.feed.parentfollower import ParentFollower
+from wheatslipd.feed.position import RelayPosition
+from wheatslipd.feed.proof import Verifier
 from wheatslipd.feed.reader import PlatformReader
 from wheatslipd.feed.relay import HEARTBEAT_SECONDS, RelayServer
-from wheatslipd.feed.tasks import until_first_ends
-from wheatslipd.feed.watchcheck import PROOF_SECONDS
+from wheatslipd.feed.tasks import run_until_first_completes
+from wheatslipd.feed.watchcheck import HEAD_REFRESH_SECONDS
 from wheatslipd.feed.watching import ListWatch, StateWatch
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-AGE_LOOK_SECONDS = 1.0  # between looks at the age of the head
+HEAD_AGE_CHECK_SECONDS = 1.0  # interval
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """The daemon that a feed belongs to, and how often it calls the platform."""
+    """The daemon that a feed belongs to, and its feed settings."""
 
     name: str
     zone: str
-    pace: FeedPace
+    settings: FeedPace
 
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What a feed uses of the world: the platform, other daemons, random numbers, the clock."""
+    """External dependencies of a feed: the platform, peer TLS, random numbers and the clock."""
 
     store: ObjectStore
     tls: PeerTls
     rng: Random
-    unix: Callable[[], float]  # seconds
+    unix: Callable[[], float]  # returns the Unix time in seconds
 
 
 class Feed:
-    """Keeps one daemon's copy up to date."""
+    """Keeps one daemon's copy of the platform's objects up to date."""
 
-    def __init__(self, member: Member, around: Surroundings, proof: Proof, bus: Bus):
-        """`proof` decides what may be put in force; `bus` takes the events."""
-        name, tls, rng = member.name, around.tls, around.rng
+    def __init__(
+        self, daemon: Member, dependencies: Surroundings, verifier: Verifier, bus: Bus
+    ):
+        """`verifier` decides what may be put in force; events are fired on `bus`."""
+        name, tls, rng = daemon.name, dependencies.tls, dependencies.rng
         self._name = name
-        self.client = around.store
-        self._pace = member.pace
+        self.client = dependencies.store
+        self._settings = daemon.settings
         self._rng = rng
-        self._unix = around.unix
+        self._unix = dependencies.unix
         self.cache = FeedCache()
-        self.relay = RelayServer(self.cache, tls, self._take_reports)
-        self._place = Place(name, member.zone, member.pace.watchers)
-        self.intake = Intake(
-            self.cache, self.relay, self._place, proof, bus, around.unix, self.check_head
+        self.relay = RelayServer(self.cache, tls, self._apply_end_reports)
+        self._position = RelayPosition(name, daemon.zone, daemon.settings.watchers)
+        self.cache_writer = CacheWriter(
+            self.cache,
+            self.relay,
+            self._position,
+            verifier,
+            bus,
+            dependencies.unix,
+            self.handle_version_hint,
         )
-        access = PlatformAccess(around.store, self.intake, member.pace, rng)
+        access = PlatformAccess(dependencies.store, self.cache_writer, daemon.settings, rng)
         self._reader = PlatformReader(name, access)
-        self._follower = ParentFollower(self._place, access, self._reader, tls)
+        self._follower = ParentFollower(self._position, access, self._reader, tls)
         self._end_reporter = EndReporter(name, self.cache, lambda: self.parent, tls)
-        self._end_store = EndStore(name, access, around.unix)
-        self.intake.on_ends = self._end_reporter.wake
-        self._follower.on_parent = self._end_reporter.wake
-        self.hints = Hints(name, self.relay, self.intake, self._reader, tls, rng)
+        self._end_store = EndStore(name, access, dependencies.unix)
+        self.cache_writer.on_end_reports = self._end_reporter.wake
+        self._follower.on_parent_changed = self._end_reporter.wake
+        self.hint_handler = HintHandler(
+            name, self.relay, self.cache_writer, self._reader, tls, rng
+        )
         self._list_watch = ListWatch(access)
         self._state_watch = StateWatch(
             access,
             self._reader,
-            on_back=self._list_watch.platform_is_back,
+            on_recovery=self._list_watch.restart,
             has_parent=lambda: bool(self.parent),
         )
 
     @property
     def watches(self) -> bool:
-        """Whether this daemon reads the platform for others."""
-        return self._place.watches
+        """Whether this daemon reads the platform for its zone."""
+        return self._position.watches
 
     @property
     def parent(self) -> str:
-        """The daemon that is followed now; empty: none."""
+        """Name of the current parent; empty if there is none."""
         return self._follower.parent
 
     @property
     def head_age(self) -> float | None:
-        """Seconds since the platform last confirmed the head to a watcher, by the watcher's
-        clock and as far as the news of it came here; None if none came.
+        """Seconds since the latest confirmation of the head that reached this daemon; None
+        before the first one.
+
+        The watcher that received the confirmation from the platform set its time, by its own
+        clock.
         """
         as_of = self.cache.as_of
         return self._unix() - as_of if as_of else None
 
     def removal_rank(self, zone: str) -> int | None:
-        """How many daemons come before this one in removing dead entries of `zone`; None if
-        this one does not read the platform.
+        """Return how many daemons precede this one in removing dead entries of `zone`.
+
+        None if this daemon does not read the platform.
         """
-        return self._place.removal_rank(zone)
+        return self._position.removal_rank(zone)
 
-    def check_head(self, version: int, address: str = "") -> None:
-        """Message: the daemon at `address` has this newer version in force."""
-        self.hints.give(version, address)
+    def handle_version_hint(self, version: int, address: str = "") -> None:
+        """Schedule a fetch: the daemon at `address` has this newer version in force."""
+        self.hint_handler.add(version, address)
 
     def report_end(self, report: EndReport) -> None:
-        """Message: this daemon has made a report, which all others should have."""
-        self.intake.take_ends((report,), self._name)
-        self._end_store.keep(report)
+        """Distribute an end report made by this daemon to all daemons, and store it."""
+        self.cache_writer.apply_end_reports((report,), self._name)
+        self._end_store.add(report)
 
-    def _take_reports(self, reports: tuple[EndReport, ...], sender: str) -> None:
-        self.intake.take_ends(reports, sender)
+    def _apply_end_reports(self, reports: tuple[EndReport, ...], sender: str) -> None:
+        self.cache_writer.apply_end_reports(reports, sender)
 
     async def run(self) -> None:
         """Run until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._keep_up())
+                group.create_task(self._synchronize())
                 group.create_task(self._end_reporter.run())
                 group.create_task(self._end_store.run())
-                group.create_task(self.hints.run())
-                group.create_task(self._watch_age())
+                group.create_task(self.hint_handler.run())
+                group.create_task(self._monitor_head_age())
         finally:
             await self.client.close()
 
-    async def _watch_age(self) -> None:
-        """Log when news of the head stop coming, and when they come again."""
-        pace = self._pace
-        proof = max(pace.watch_check, PROOF_SECONDS) if pace.watch_check else pace.watch
-        lost_after = 2 * proof + 2 * HEARTBEAT_SECONDS
+    async def _monitor_head_age(self) -> None:
+        """Log when confirmations of the head stop, and when they resume."""
+        settings = self._settings
+        interval = (
+            max(settings.watch_check, HEAD_REFRESH_SECONDS)
+            if settings.watch_check
+            else settings.watch
+        )
+        lost_after = 2 * interval + 2 * HEARTBEAT_SECONDS
         head_age = HeadAge(lost_after)
         while True:
-            await asyncio.sleep(AGE_LOOK_SECONDS)
+            await asyncio.sleep(HEAD_AGE_CHECK_SECONDS)
             age = self.head_age
             if age is None:
                 continue
@@ -150,17 +168,17 @@
                 case AgeChange.LOST:
                     logs.warning("head-unconfirmed", age=round(age, 1), way=way)
                 case AgeChange.FOUND:
-                    logs.info("head-confirmed", version=self.intake.version, way=way)
-
-    async def _keep_up(self) -> None:
-        await self._reader.read_first()
-        if self._pace.settle and not self._place.is_known:
-            # All daemons of the zone may be starting now. Once they are listed, most of them
-            # follow others.
-            await asyncio.sleep(self._pace.settle * (0.75 + 0.5 * self._rng.random()))
-            await self._reader.read_settled_list()
+                    logs.info("head-confirmed", version=self.cache_writer.version, way=way)
+
+    async def _synchronize(self) -> None:
+        await self._reader.read_initial_state()
+        if self._settings.settle and not self._position.has_zone_members:
+            # All daemons of the zone may be starting at once. When they are listed, most of
+            # them become followers and need not read the platform.
+            await asyncio.sleep(self._settings.settle * (0.75 + 0.5 * self._rng.random()))
+            await self._reader.read_list_until_listed()
         while True:
-            self._place.role_changed.clear()
+            self._position.role_changed.clear()
             if self.watches:
                 await self._watch_platform()
             else:
@@ -168,9 +186,9 @@
 
     async def _watch_platform(self) -> None:
         """Watch the platform and follow the ring until this daemon's role changes."""
-        has_list = self._place.watches_list
+        has_list = self._position.watches_list
         logs.info("watching-platform", has_list=has_list)
         jobs = [self._state_watch.run(), self._follower.run()]
         if has_list:
             jobs.append(self._list_watch.run())
-        await until_first_ends(*jobs, self._place.role_changed.wait())
+        await run_until_first_completes(*jobs, self._position.role_changed.wait())
--- a/packages/wheatslipd/wheatslipd/feed/feedpace.py
+++ b/packages/wheatslipd/wheatslipd/feed/feedpace.py
@@ -1,4 +1,4 @@
-"""How a daemon keeps up with the platform: the settings of the feed."""
+"""Settings of the feed."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedPace:
-    """How many daemons of a zone read the platform, and how long their watches wait (s)."""
+    """How often a daemon calls the platform. Times are in seconds."""
 
-    watchers: int = WATCHERS
-    watch: float = WATCH_SECONDS
-    watch_check: float = 0.0  # between the calls that check the watches; 0: none
-    list_watch: float = WATCH_SECONDS
-    list_pause: float = 0.0  # between two changes of the list
-    retry_last: float = BACKOFF_LAST  # longest wait after a failed call
-    settle: float = 0.0  # before an empty list of the own zone is read again, at the start
+    watchers: int = WATCHERS  # daemons of each zone that read the platform
+    watch: float = WATCH_SECONDS  # longest wait of a watch of the head or the zone drains
+    watch_check: float = 0.0  # interval of the calls that check the watches; 0: no checks
+    list_watch: float = WATCH_SECONDS  # longest wait of a watch of the instance list
+    list_pause: float = 0.0  # pause between two changes of the instance list
+    retry_last: float = BACKOFF_LAST  # longest backoff after a failed call
+    settle: float = (
+        0.0  # at the start: delay before an empty list of the own zone is read again
+    )
--- /dev/null
+++ b/packages/wheatslipd/wheatslipd/feed/hinthandler.py
@@ -0,0 +1,86 @@
+"""Handles hints: requests and responses carry the bundle version in force at the sender."""
+
+import asyncio
+from contextlib import aclosing, suppress
+from random import Random
+
+from wheatslip.store.instances import Instance
+
+from wheatslipd.feed.cachewriter import CacheWriter
+from wheatslipd.feed.reader import PlatformReader
+from wheatslipd.feed.relay import RelayServer, follow_parent
+from wheatslipd.telemetry import logs
+from wheatslipd.tls import PeerTls
+
+# Mean wait for the version to arrive through the relay tree before the daemon that gave the
+# hint is asked; jittered by a factor of 0.5 to 1.5.
+HINT_DELAY_SECONDS = 0.25
+HINT_TIMEOUT_SECONDS = 1.5  # for that daemon to send the version before the platform is read
+# Pause after each handled hint; limits the reads of the platform that hints cause.
+HINT_INTERVAL_SECONDS = 1.0
+
+
+class HintHandler:
+    """Fetches the bundle version named by a hint if the relay tree does not deliver it in time.
+
+    It asks the daemon that gave the hint first. It reads the platform only if that fails,
+    because the platform would send the complete configuration to all daemons of a zone at once:
+    they receive their hints at the same time.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        relay: RelayServer,
+        cache_writer: CacheWriter,
+        reader: PlatformReader,
+        tls: PeerTls,
+        rng: Random,
+    ):
+        self._name = name
+        self._relay = relay
+        self._cache_writer = cache_writer
+        self._reader = reader
+        self._tls = tls
+        self._rng = rng
+        self._hint_received = asyncio.Event()
+        self._version = 0  # the newest in any hint
+        self._address = ""  # of the daemon that gave the latest hint; empty if unknown
+
+    def add(self, version: int, address: str = "") -> None:
+        """Record a hint: the daemon at `address` has this newer version."""
+        self._version = max(self._version, version)
+        self._address = address or self._address
+        self._hint_received.set()
+
+    async def run(self) -> None:
+        """Run until cancelled."""
+        while True:
+            await self._hint_received.wait()
+            self._hint_received.clear()
+            await asyncio.sleep(HINT_DELAY_SECONDS * (0.5 + self._rng.random()))
+            if self._cache_writer.version >= self._version:
+                continue
+            with suppress(TimeoutError):
+                async with asyncio.timeout(HINT_TIMEOUT_SECONDS):
+                    await self._fetch_from(self._address)
+            if self._cache_writer.version < self._version:
+                await self._reader.read_head()
+            await asyncio.sleep(HINT_INTERVAL_SECONDS)
+
+    async def _fetch_from(self, address: str) -> None:
+        """Apply one update from the daemon at `address`."""
+        if not address:
+            return
+        listed = (
+            i for i in self._cache_writer.cache.instances.values() if i.address == address
+        )
+        # A daemon that has just started has no list. All daemons usually use the same ports.
+        assumed = Instance("", "", "", address, 0, 0, self._relay.port)
+        instance = next(listed, assumed)
+        logs.info("asking-daemon", address=address, hinted_version=self._version)
+        cursor = self._cache_writer.cache.cursor(self._name)
+        async with aclosing(follow_parent(instance, cursor, self._tls)) as updates:
+            async for update in updates:
+                self._cache_writer.apply_update(update, instance.name)
+                return
--- a/packages/wheatslipd/wheatslipd/feed/place.py
+++ b/packages/wheatslipd/wheatslipd/feed/position.py
@@ -1,4 +1,4 @@
-"""This daemon's place in the tree: whether it reads the platform, and whom it follows."""
+"""This daemon's position in the relay tree: whether it reads the platform, and its parents."""
 
 import asyncio
 from collections.abc import Iterable
@@ -14,10 +14,10 @@
 from wheatslip.store.instances import Instance
 
 
-class Place:
-    """The place by the present list.
+class RelayPosition:
+    """The position derived from the current instance list.
 
-    `role_changed` and `parents_changed` are set on a change; the tasks that act on them clear
+    `role_changed` and `parents_changed` are set on a change; the tasks that wait for them clear
     them.
     """
 
@@ -27,61 +27,62 @@
         self._zone = zone
         self._watchers = watchers
         self._order: list[str] = []
-        self._ring: tuple[str, ...] = ()  # worked out by watchers only
+        self._ring: tuple[str, ...] = ()  # computed by watchers only
         self.role_changed = asyncio.Event()
         self.parents_changed = asyncio.Event()
 
     @property
     def watches(self) -> bool:
-        """Whether this daemon reads the platform for others."""
+        """Whether this daemon reads the platform for its zone."""
         return is_watcher(self.name, self._order, self._watchers)
 
     @property
     def watches_list(self) -> bool:
-        """Whether this daemon watches the list too."""
+        """Whether this daemon also watches the instance list."""
         return watches_list(self.name, self._order)
 
     @property
-    def is_known(self) -> bool:
-        """Whether a list with members of the own zone was seen."""
+    def has_zone_members(self) -> bool:
+        """Whether an instance list with daemons of the own zone was received."""
         return bool(self._order)
 
     def parents(self) -> list[str]:
-        """Whom to follow, in the order in which to try."""
+        """Return the names of the daemons to follow, in the order in which to try them."""
         if self.watches:
             return ring_parents_of(self.name, self._ring)
         return parents_of(self.name, self._order, self._watchers)
 
     def removal_rank(self, zone: str) -> int | None:
-        """How many daemons come before this one in removing dead entries of `zone`; None if
-        this one does not read the platform.
+        """Return how many daemons precede this one in removing dead entries of `zone`.
+
+        None if this daemon does not read the platform.
         """
         if not self.watches or self.name not in self._order:
             return None
         rank = self._order.index(self.name)
         return rank if zone == self._zone else self._watchers + rank
 
-    def reorder(self, instances: Iterable[Instance]) -> None:
-        """Work the place out from the present list, and set the events of what changed."""
+    def update(self, instances: Iterable[Instance]) -> None:
+        """Compute the position from the current list, and set the events for what changed."""
         role_before = self._role()
         parents_before = self.parents()
-        self._take_place(_members_of_zones(instances))
+        self._set_order(_names_by_zone(instances))
         if self._role() != role_before:
             self.role_changed.set()
         if self.role_changed.is_set() or self.parents() != parents_before:
             self.parents_changed.set()
 
-    def _take_place(self, zones: dict[str, set[str]]) -> None:
+    def _set_order(self, zones: dict[str, set[str]]) -> None:
         in_zone = zones.get(self._zone)
         if in_zone:
-            # A daemon that is not listed yet takes the place that it will have.
+            # A daemon that is not listed yet takes the position that it will have.
             in_zone.add(self.name)
-        # While no daemon of the zone is listed there is no order, and each reads the platform.
+        # While no daemon of the zone is listed, there is no order and each reads the platform.
         self._order = relay_order(in_zone or ())
         is_placed_watcher = self.name in self._order[: self._watchers]
-        self._ring = self._ring_of(zones) if is_placed_watcher else ()
+        self._ring = self._build_ring(zones) if is_placed_watcher else ()
 
-    def _ring_of(self, zones: dict[str, set[str]]) -> tuple[str, ...]:
+    def _build_ring(self, zones: dict[str, set[str]]) -> tuple[str, ...]:
         orders = {zone: relay_order(names) for zone, names in zones.items()}
         return watcher_ring(orders, self._watchers)
 
@@ -89,8 +90,7 @@
         return self.watches, self.watches_list
 
 
-def _members_of_zones(instances: Iterable[Instance]) -> dict[str, set[str]]:
-    """The names of the instances by zone."""
+def _names_by_zone(instances: Iterable[Instance]) -> dict[str, set[str]]:
     zones: dict[str, set[str]] = {}
     for instance in instances:
         zones.setdefault(instance.zone, set()).add(instance.name)
--- a/packages/wheatslipd/wheatslipd/feed/proof.py
+++ b/packages/wheatslipd/wheatslipd/feed/proof.py
@@ -1,4 +1,4 @@
-"""Checks whether a bundle or a zone drain may be put in force, whichever way it came."""
+"""Verification of bundles and zone drains before they are put in force."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -11,59 +11,58 @@
 
 from wheatslipd.settings import ConfigurationSource, Settings
 
-# Longest bundle from a platform that is trusted without signatures.
-TRUSTED_BUNDLE_BYTES = 16 * 1024 * 1024
+MAX_UNSIGNED_BUNDLE_BYTES = 16 * 1024 * 1024
 
 
-class Proof(Protocol):
-    """Decides what may be put in force."""
+class Verifier(Protocol):
+    """Decides whether a bundle or a zone drain may be put in force."""
 
-    def bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
-        """The bundle, if it may be put in force; the error is a sentence."""
+    def verify_bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
+        """Return the bundle if it may be put in force, else the reason as a sentence."""
 
-    def drain(self, drain: ZoneDrain) -> bool:
-        """Whether a zone may be emptied."""
+    def accepts_drain(self, drain: ZoneDrain) -> bool:
+        """Return whether the zone may be drained."""
 
 
 @dataclass(frozen=True, slots=True)
-class KeyringProof:
-    """Accepts what operators have signed whose keys are in a folder.
+class KeyringVerifier:
+    """Accepts bundles and zone drains signed by operators whose keys are in the keyring folder.
 
     A bundle needs two signatures. A zone drain needs one, because it is urgent. The keyring is
-    read each time, so that a new operator's key needs no restart. The library for signatures
-    takes long to load, so it is imported on first use.
+    read on each call, so that a new operator's key needs no restart. The signature library is
+    slow to load, so it is imported on first use.
     """
 
     keyring: Path
 
-    def bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
-        """The bundle, if enough operators have signed it."""
+    def verify_bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
+        """Return the bundle if enough operators have signed it."""
         from wheatslip.config.signing import load_keyring, verify
 
         return verify(signed, load_keyring(self.keyring))
 
-    def drain(self, drain: ZoneDrain) -> bool:
-        """Whether an operator has signed it."""
+    def accepts_drain(self, drain: ZoneDrain) -> bool:
+        """Return whether an operator has signed the drain."""
         from wheatslip.config.signing import load_keyring, verify_drain
 
         return verify_drain(drain, load_keyring(self.keyring))
 
 
 @dataclass(frozen=True, slots=True)
-class TrustedPlatform:
-    """Accepts everything: only operators can write at the platform."""
+class TrustedPlatformVerifier:
+    """Accepts unsigned bundles and zone drains: only operators can write to the platform."""
 
-    def bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
-        """The bundle, if it can be read."""
-        return decode_bundle(signed.body.encode(), TRUSTED_BUNDLE_BYTES)
+    def verify_bundle(self, signed: SignedBundle) -> Result[Bundle, str]:
+        """Return the bundle if it can be decoded."""
+        return decode_bundle(signed.body.encode(), MAX_UNSIGNED_BUNDLE_BYTES)
 
-    def drain(self, drain: ZoneDrain) -> bool:
-        """Always."""
+    def accepts_drain(self, drain: ZoneDrain) -> bool:
+        """Accept every drain."""
         return True
 
 
-def proof_of(settings: Settings) -> Proof:
-    """The proof that the settings ask for."""
+def proof_of(settings: Settings) -> Verifier:
+    """Return the verifier for the configured source of the configuration."""
     if settings.source is ConfigurationSource.TRUSTED:
-        return TrustedPlatform()
-    return KeyringProof(settings.keyring)
+        return TrustedPlatformVerifier()
+    return KeyringVerifier(settings.keyring)
--- a/packages/wheatslipd/wheatslipd/feed/relay.py
+++ b/packages/wheatslipd/wheatslipd/feed/relay.py
@@ -1,8 +1,8 @@
-"""Updates from daemon to daemon: serves followers from the cache, and follows a parent.
+"""Streams of updates between daemons: the server for followers and the client for a parent.
 
-A stream stays open. An update goes out when something changes, and as a heartbeat when nothing
-does. Each is sent in chunks, so that an update that takes long on a narrow link is not mistaken
-for a silent parent.
+A stream stays open. The server sends an update when the cache changes, and as a heartbeat when
+it does not. It sends each update in chunks, so that the client does not take a parent for dead
+while a large update crosses a slow link.
 """
 
 import asyncio
@@ -25,45 +25,44 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-METHOD = "/wheatslip.Relay/FollowInPieces"
+FOLLOW_METHOD = "/wheatslip.Relay/FollowInPieces"
 REPORT_METHOD = "/wheatslip.Relay/ReportEnds"
 HEARTBEAT_SECONDS = 0.5  # longest time between two updates of a stream
-# Heartbeats without a chunk after which a parent is taken for dead, frozen or out of reach:
-# two, and half of one for a delay.
-SILENT_HEARTBEATS = 2.5
-SILENCE_TIMEOUT = SILENT_HEARTBEATS * HEARTBEAT_SECONDS
-# Of a parent that does not say its own: one of the version before.
-UNTOLD_HEARTBEAT_SECONDS = 2.0
-# Followers that one daemon serves. The tree gives it about three, and more only while others
-# are gone.
+# Heartbeat intervals without a chunk after which a parent counts as failed: two, plus half an
+# interval for delays.
+MISSED_HEARTBEATS = 2.5
+SILENCE_TIMEOUT_SECONDS = MISSED_HEARTBEATS * HEARTBEAT_SECONDS
+# Heartbeat interval of a parent of the previous version, which does not send its own.
+DEFAULT_HEARTBEAT_SECONDS = 2.0
+# The tree assigns about three followers to a daemon, and more only while others are down.
 MAX_FOLLOWERS = 64
-REPORT_TIMEOUT = SILENCE_TIMEOUT  # seconds for a parent to take reports
+REPORT_TIMEOUT_SECONDS = SILENCE_TIMEOUT_SECONDS
 
 
 class EndReports(msgspec.Struct, frozen=True):
-    """Reports of ends of servers that the daemon `sender` brings to its parent."""
+    """End reports that the daemon `sender` sends to its parent."""
 
     sender: str
     reports: tuple[EndReport, ...]
 
 
-class Taken(msgspec.Struct, frozen=True):
-    """The answer to `EndReports`."""
+class EndReportsResponse(msgspec.Struct, frozen=True):
+    """Response to `EndReports`."""
 
 
-OnReports = Callable[[tuple[EndReport, ...], str], None]
+ReportsCallback = Callable[[tuple[EndReport, ...], str], None]
 
 
 class RelayServer:
-    """Serves the followers of one daemon."""
+    """Serves updates to the followers of one daemon, and receives their end reports."""
 
     def __init__(
         self,
         cache: FeedCache,
         tls: PeerTls,
-        on_reports: OnReports = lambda reports, sender: None,
+        on_reports: ReportsCallback = lambda reports, sender: None,
     ):
-        """`on_reports` takes the reports that a follower brings, and its name."""
+        """`on_reports` is called with the end reports that a follower sends, and its name."""
         self._cache = cache
         self._tls = tls
         self._on_reports = on_reports
@@ -76,39 +75,41 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of the messages sent to followers, without the transport's own."""
+        """Total bytes of the messages sent to followers, without transport overhead."""
         return self._codec.encoded_bytes
 
     def __mapping__(self) -> dict[str, grpclib.const.Handler]:
-        """The methods by path, as grpclib asks for them."""
+        """Return the handlers by method path; grpclib calls this."""
         stream = grpclib.const.Cardinality.UNARY_STREAM
         unary = grpclib.const.Cardinality.UNARY_UNARY
         return {
-            METHOD: grpclib.const.Handler(self._follow, stream, Cursor, Chunk),
-            REPORT_METHOD: grpclib.const.Handler(self._report, unary, EndReports, Taken),
+            FOLLOW_METHOD: grpclib.const.Handler(self._follow, stream, Cursor, Chunk),
+            REPORT_METHOD: grpclib.const.Handler(
+                self._receive_reports, unary, EndReports, EndReportsResponse
+            ),
         }
 
     async def listen(self, host: str, port: int) -> None:
-        """Listen; `port` 0 takes a free one. Raises OSError."""
+        """Listen on `port`, or on a free port if it is 0. Raises OSError."""
         await self._server.start(host, port, ssl=self._tls.server)
-        # grpclib has no public way to learn the port.
+        # grpclib has no public API for the port.
         server = cast(asyncio.Server, self._server._server)
         self.port = server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close the streams."""
+        """Close the server and its streams."""
         self._server.close()
         await self._server.wait_closed()
 
-    def announce(self) -> None:
-        """Message: the cache has changed. Wakes the streams."""
+    def notify_followers(self) -> None:
+        """Wake all streams after a change of the cache."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def leave(self) -> None:
-        """Message: this daemon stops. Ends the streams, so that followers go on to others."""
+        """End all streams because this daemon stops, so that followers choose other parents."""
         self._is_leaving = True
-        self.announce()
+        self.notify_followers()
 
     async def _follow(self, stream: Stream[Cursor, Chunk]) -> None:
         cursor = await stream.recv_message()
@@ -119,35 +120,35 @@
         if self.followers >= MAX_FOLLOWERS:
             raise GRPCError(grpclib.const.Status.RESOURCE_EXHAUSTED)
         self.followers += 1
-        ends_sent = 0  # position of the last report that was sent on this stream
-        head_at_sent = 0  # the last of the store's versions of the head, likewise
-        heartbeat = HEARTBEAT_SECONDS  # told with the first update only
+        sent_reports_position = 0  # position of the last report sent on this stream
+        sent_head_position = 0  # the last `head_at` sent on this stream
+        heartbeat = HEARTBEAT_SECONDS  # sent with the first update only
         try:
             while not self._is_leaving:
                 changed = self._changed
-                ends = self._cache.ends.after(ends_sent, but_from=cursor.follower)
-                ends_sent = self._cache.ends.position
-                news = self._cache.since(cursor, head_at_sent)
-                update = msgspec.structs.replace(news, ends=ends, heartbeat=heartbeat)
-                head_at_sent = max(head_at_sent, news.head_at)
+                ends = self._cache.ends.after(sent_reports_position, but_from=cursor.follower)
+                sent_reports_position = self._cache.ends.position
+                changes = self._cache.since(cursor, sent_head_position)
+                update = msgspec.structs.replace(changes, ends=ends, heartbeat=heartbeat)
+                sent_head_position = max(sent_head_position, changes.head_at)
                 heartbeat = 0.0
                 for chunk in cut(msgspec.msgpack.encode(update)):
                     await stream.send_message(chunk)
-                cursor = _advance(cursor, update)
+                cursor = _advance_cursor(cursor, update)
                 with suppress(TimeoutError):
                     async with asyncio.timeout(HEARTBEAT_SECONDS):
                         await changed.wait()
         finally:
             self.followers -= 1
 
-    async def _report(self, stream: Stream[EndReports, Taken]) -> None:
-        brought = await stream.recv_message()
-        if brought is not None:
-            self._on_reports(brought.reports, brought.sender)
-            await stream.send_message(Taken())
+    async def _receive_reports(self, stream: Stream[EndReports, EndReportsResponse]) -> None:
+        message = await stream.recv_message()
+        if message is not None:
+            self._on_reports(message.reports, message.sender)
+            await stream.send_message(EndReportsResponse())
 
 
-def _advance(cursor: Cursor, update: Update) -> Cursor:
+def _advance_cursor(cursor: Cursor, update: Update) -> Cursor:
     bundle = update.head.version if update.head else cursor.bundle
     drained = update.drains.version if update.drains else cursor.drained
     return Cursor(cursor.follower, bundle, update.listed, drained)
@@ -156,26 +157,28 @@
 async def follow_parent(
     parent: Instance, cursor: Cursor, tls: PeerTls
 ) -> AsyncGenerator[Update, None]:
-    """The updates of one parent; ends when it fails, is silent or sends what can't be read."""
+    """Yield the updates of one parent until it fails, times out or sends an invalid message."""
     channel = Channel(parent.address, parent.control_port, codec=StructCodec(), ssl=tls.client)
-    method: UnaryStreamMethod[Cursor, Chunk] = UnaryStreamMethod(channel, METHOD, Cursor, Chunk)
+    method: UnaryStreamMethod[Cursor, Chunk] = UnaryStreamMethod(
+        channel, FOLLOW_METHOD, Cursor, Chunk
+    )
     joiner = Joiner()
-    heartbeat = 0.0  # of the parent; 0: it has sent nothing yet
-    silence = SILENCE_TIMEOUT
+    heartbeat = 0.0  # the parent's interval in seconds; 0 before the first update
+    silence_timeout = SILENCE_TIMEOUT_SECONDS
     try:
         async with method.open() as stream:
-            async with asyncio.timeout(SILENCE_TIMEOUT):
+            async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
                 await stream.send_message(cursor, end=True)
             while True:
-                async with asyncio.timeout(silence):
+                async with asyncio.timeout(silence_timeout):
                     chunk = await stream.recv_message()
                 if chunk is None:
                     return
                 match joiner.add(chunk):
                     case Ok(message) if message is not None:
                         update = msgspec.msgpack.decode(message, type=Update)
-                        heartbeat = heartbeat or update.heartbeat or UNTOLD_HEARTBEAT_SECONDS
-                        silence = SILENT_HEARTBEATS * heartbeat
+                        heartbeat = heartbeat or update.heartbeat or DEFAULT_HEARTBEAT_SECONDS
+                        silence_timeout = MISSED_HEARTBEATS * heartbeat
                         yield update
                     case Err(why):
                         logs.warning("update-refused", parent=parent.name, why=why)
@@ -187,31 +190,32 @@
         StreamTerminatedError,
         msgspec.DecodeError,
     ) as error:
-        # A time-out is the only sign of a connection that is open and says nothing.
+        # A connection that is open but delivers nothing shows only as a timeout.
         logs.info("parent-lost", parent=parent.name, error=repr(error), repeat_key=parent.name)
     finally:
         channel.close()
 
 
-async def report_ends(parent: Instance, reports: EndReports, tls: PeerTls) -> bool:
-    """Bring reports to a parent; False if that should be tried again."""
+async def send_end_reports(parent: Instance, reports: EndReports, tls: PeerTls) -> bool:
+    """Send end reports to a parent; return False if a retry is needed."""
     channel = Channel(parent.address, parent.control_port, codec=StructCodec(), ssl=tls.client)
-    method: UnaryUnaryMethod[EndReports, Taken] = UnaryUnaryMethod(
-        channel, REPORT_METHOD, EndReports, Taken
+    method: UnaryUnaryMethod[EndReports, EndReportsResponse] = UnaryUnaryMethod(
+        channel, REPORT_METHOD, EndReports, EndReportsResponse
     )
     try:
-        await method(reports, timeout=REPORT_TIMEOUT)
+        await method(reports, timeout=REPORT_TIMEOUT_SECONDS)
     except GRPCError as error:
-        # Most likely of the version before, which does not know the method and will not learn
-        # it. grpclib has no status of its own for that: the answer lacks its content type.
-        _log_not_taken(parent, error)
+        # Most likely the parent runs the previous version, which lacks the method, so a retry
+        # would fail too. grpclib reports no specific status for that: the response has no
+        # content type.
+        _log_undelivered(parent, error)
     except (OSError, TimeoutError, StreamTerminatedError, msgspec.DecodeError) as error:
-        _log_not_taken(parent, error)
+        _log_undelivered(parent, error)
         return False
     finally:
         channel.close()
     return True
 
 
-def _log_not_taken(parent: Instance, error: Exception) -> None:
+def _log_undelivered(parent: Instance, error: Exception) -> None:
     logs.info("report-not-taken", parent=parent.name, error=repr(error), repeat_key=parent.name)
--- a/packages/wheatslipd/wheatslipd/feed/tasks.py
+++ b/packages/wheatslipd/wheatslipd/feed/tasks.py
@@ -1,4 +1,4 @@
-"""Runs jobs side by side where the end of one ends the others."""
+"""Runs coroutines concurrently until the first one completes."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -7,17 +7,19 @@
 Outcome = TypeVar("Outcome")
 
 
-async def until_first_ends(*jobs: Coroutine[Any, Any, Outcome]) -> list[Outcome | None]:
-    """Run jobs until the first one ends, cancel the others, and wait for their ends.
+async def run_until_first_completes(
+    *jobs: Coroutine[Any, Any, Outcome],
+) -> list[Outcome | None]:
+    """Run jobs until the first one completes, then cancel the others and wait for them.
 
-    Returns the outcomes in the order of the jobs, None for a job that was cancelled. Raises
-    what the job that ended raised.
+    Returns the results in the order of the jobs, with None for each cancelled job. Raises the
+    exception of the completed job, if any.
     """
     tasks = [asyncio.ensure_future(job) for job in jobs]
     try:
-        ended, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+        completed, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-    return [task.result() if task in ended else None for task in tasks]
+    return [task.result() if task in completed else None for task in tasks]
--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -8,7 +8,7 @@
 from wheatslip.quarantine import HELD_AFTER, ServerEnd
 from wheatslip.store.instances import Instance
 from wheatslipd.feed.codec import StructCodec
-from wheatslipd.feed.relay import EndReports, report_ends
+from wheatslipd.feed.relay import EndReports, send_end_reports
 from wheatslipd.tls import PeerTls
 
 from fleet_standins.store import Fault
@@ -273,9 +273,9 @@
         port = server._server.sockets[0].getsockname()[1]
         parent = Instance("old", "papers", "one", HOST, 0, 0, port)
         reports = EndReports("a", (ServerEnd("a/1", 1.0, "papers", ("f",)),))
-        assert await report_ends(parent, reports, PeerTls())
+        assert await send_end_reports(parent, reports, PeerTls())
         server.close()
         await server.wait_closed()
-        assert not await report_ends(parent, reports, PeerTls())
+        assert not await send_end_reports(parent, reports, PeerTls())
 
     run(scenario)
--- a/test/test_forms.py
+++ b/test/test_forms.py
@@ -49,7 +49,8 @@
 from wheatslipd.entry.answers import send_refusal
 from wheatslipd.feed.codec import StructCodec
 from wheatslipd.feed.endstore import StoredEnds
-from wheatslipd.feed.relay import METHOD, EndReports
+from wheatslipd.feed.relay import FOLLOW_METHOD as METHOD
+from wheatslipd.feed.relay import EndReports
 from wheatslipd.http.body import Body
 from wheatslipd.http.exchange import Exchange
 from wheatslipd.http.messages import RequestHead
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -165,7 +165,9 @@
 def test_an_owner_whose_lease_has_lapsed_runs_nothing(tmp_path):
     async def scenario(installation):
         for node in installation.nodes.values():
-            node.daemon.feed.intake.confirm = lambda: None  # no news of the list from now on
+            node.daemon.feed.cache_writer.confirm_list = lambda: (
+                None
+            )  # no news of the list from now on
             node.daemon.feed.cache.checked = time.time() - 60.0
         caller = installation.caller()
         entry = installation.nodes["papers-1"].entry
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -26,7 +26,7 @@
     watcher_ring,
 )
 from wheatslip.store.instances import Instance
-from wheatslipd.feed import following
+from wheatslipd.feed import parentfollower
 from wheatslipd.http.messages import RequestHead
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
@@ -183,10 +183,12 @@
             await zone_of(installation, 2)
             reads = []
             for node in installation.nodes.values():
-                whole = node.daemon.feed.intake.take_stored_bundle
-                node.daemon.feed.intake.take_stored_bundle = lambda head, stored, whole=whole: (
-                    reads.append(head.version),
-                    whole(head, stored),
+                whole = node.daemon.feed.cache_writer.apply_stored_bundle
+                node.daemon.feed.cache_writer.apply_stored_bundle = (
+                    lambda head, stored, whole=whole: (
+                        reads.append(head.version),
+                        whole(head, stored),
+                    )
                 )
             await installation.release(bundle(version=2))
             await installation.ready(2)
@@ -236,7 +238,7 @@
             signed = SignedBundle(forged.canonical().decode())
             for node in watching:
                 node.daemon.feed.cache.take_bundle(head, signed, forged)
-                node.daemon.feed.relay.announce()
+                node.daemon.feed.relay.notify_followers()
             await installation.release(bundle(version=2))
             real = bundle(version=2).digest()
             # The true version 2 comes by way of the platform, which the followers then ask.
@@ -247,7 +249,7 @@
 
 async def _has_digest(nodes, digest):
     for node in nodes:
-        node.daemon.feed.check_head(2)
+        node.daemon.feed.handle_version_hint(2)
     heads = [node.daemon.feed.cache.head for node in nodes]
     return all(head.digest == digest for head in heads)
 
@@ -309,7 +311,7 @@
     second ones, which do not watch the list, followed each other: their heads stayed fresh, and
     their list old, for as long as they ran.
     """
-    monkeypatch.setattr(following, "list_timeout", lambda list_watch: 1.0)
+    monkeypatch.setattr(parentfollower, "list_stale_timeout", lambda list_watch: 1.0)
 
     async def main():
         async with Installation(tmp_path) as installation:
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -241,7 +241,7 @@
                 "a"
             ]
             assert port == one.daemons["a"].feed.cache.instances["a"].control_port
-            one.daemons["b"].feed.check_head(1, HOST)
+            one.daemons["b"].feed.handle_version_hint(1, HOST)
 
             async def learned():
                 return one.daemons["b"].status().version == 1
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -21,7 +21,7 @@
 from wheatslip.distribution.relaytree import WATCHERS, relay_order
 from wheatslip.store.instances import Instance
 from wheatslipd.feed.codec import StructCodec
-from wheatslipd.feed.relay import METHOD, follow_parent
+from wheatslipd.feed.relay import FOLLOW_METHOD, follow_parent
 from wheatslipd.tls import PeerTls
 
 from standins.cluster import HOST, eventually
@@ -185,7 +185,7 @@
 
     def __mapping__(self):
         stream = grpclib.const.Cardinality.UNARY_STREAM
-        return {METHOD: grpclib.const.Handler(self._follow, stream, Cursor, Chunk)}
+        return {FOLLOW_METHOD: grpclib.const.Handler(self._follow, stream, Cursor, Chunk)}
 
     async def _follow(self, stream):
         await stream.recv_message()
--- a/test/test_silent_watch.py
+++ b/test/test_silent_watch.py
@@ -18,7 +18,7 @@
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed.feed import Feed, Member, Surroundings
 from wheatslipd.feed.feedpace import FeedPace
-from wheatslipd.feed.proof import TrustedPlatform
+from wheatslipd.feed.proof import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
 from standins.cluster import eventually
@@ -93,12 +93,12 @@
 def feed_on(store):
     pace = FeedPace(watch=WATCH, watch_check=1.0, list_watch=WATCH)
     around = Surroundings(store, PeerTls(), Random(1), time.time)
-    return Feed(Member("a", "one", pace), around, TrustedPlatform(), Bus())
+    return Feed(Member("a", "one", pace), around, TrustedPlatformVerifier(), Bus())
 
 
 async def in_force(feed, version):
     async def taken():
-        return feed.intake.version == version
+        return feed.cache_writer.version == version
 
     await eventually(taken)
 
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -37,7 +37,7 @@
 from wheatslipd.feed import relay
 from wheatslipd.feed.feed import Feed, Member, Surroundings
 from wheatslipd.feed.feedpace import FeedPace
-from wheatslipd.feed.proof import TrustedPlatform
+from wheatslipd.feed.proof import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
 from fleet_adapter.store import FleetStore
@@ -119,7 +119,7 @@
 
 def test_an_update_that_is_long_for_its_link_is_not_taken_for_silence(monkeypatch):
     """It takes twice as long as a parent may be silent, also packed."""
-    monkeypatch.setattr(relay, "SILENCE_TIMEOUT", 0.4)
+    monkeypatch.setattr(relay, "SILENCE_TIMEOUT_SECONDS", 0.4)
 
     async def scenario():
         random = Random(1)
@@ -141,7 +141,7 @@
         updates = relay.follow_parent(parent, Cursor("child"), PeerTls())
         async with aclosing(updates):
             assert (await anext(updates)).signed == signed
-        assert link.carried / LINK > 2 * relay.SILENCE_TIMEOUT
+        assert link.carried / LINK > 2 * relay.SILENCE_TIMEOUT_SECONDS
         await link.close()
         await server.stop()
 
@@ -174,7 +174,7 @@
         feed = Feed(
             Member("b", "one", FeedPace()),
             Surroundings(store, PeerTls(), Random(1), time.time),
-            TrustedPlatform(),
+            TrustedPlatformVerifier(),
             Bus(),
         )
         feed.cache.take_list(
@@ -182,8 +182,8 @@
             [ListChange(1, "a", Instance("a", "papers", "one", HOST, 1, 2, giver.port))],
             whole=True,
         )
-        following = asyncio.create_task(feed.hints.run())
-        feed.check_head(hinted, HOST)
+        following = asyncio.create_task(feed.hint_handler.run())
+        feed.handle_version_hint(hinted, HOST)
 
         async def followed():
             return feed.cache.head is not None and store.asked == reads
--- a/test/test_store_comes_back_older.py
+++ b/test/test_store_comes_back_older.py
@@ -171,7 +171,7 @@
 
 def test_an_older_store_costs_no_more_calls_than_a_forgotten_history(monkeypatch):
     # Each watcher makes one proof, before the calls are counted.
-    monkeypatch.setattr(watchcheck, "PROOF_SECONDS", 1000.0)
+    monkeypatch.setattr(watchcheck, "HEAD_REFRESH_SECONDS", 1000.0)
 
     async def scenario():
         async with older_fleet() as one:
--- a/test/test_tasks.py
+++ b/test/test_tasks.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from wheatslipd.feed.tasks import until_first_ends
+from wheatslipd.feed.tasks import run_until_first_completes
 
 from test.helper import run
 
@@ -23,7 +23,7 @@
 def test_the_first_end_cancels_the_others_and_waits_for_their_ends():
     async def scenario():
         ended = []
-        assert await until_first_ends(wait_for_ever(ended), answer(5)) == [None, 5]
+        assert await run_until_first_completes(wait_for_ever(ended), answer(5)) == [None, 5]
         assert ended == ["waiting"]
 
     run(scenario)
@@ -36,7 +36,7 @@
     async def scenario():
         ended = []
         with pytest.raises(ValueError, match="no"):
-            await until_first_ends(wait_for_ever(ended), fail())
+            await run_until_first_completes(wait_for_ever(ended), fail())
         assert ended == ["waiting"]
 
     run(scenario)
@@ -45,7 +45,7 @@
 def test_a_cancelled_caller_leaves_no_job_behind():
     async def scenario():
         ended = []
-        caller = asyncio.create_task(until_first_ends(wait_for_ever(ended)))
+        caller = asyncio.create_task(run_until_first_completes(wait_for_ever(ended)))
         await asyncio.sleep(0.01)
         caller.cancel()
         with pytest.raises(asyncio.CancelledError):
