--- a/packages/wheatslipd/wheatslipd/controllers/__init__.py
+++ b/packages/wheatslipd/wheatslipd/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers: each owns one part of what the daemon knows and publishes it in the view."""
+"""Controllers: each owns one part of the daemon's state and publishes it in the view."""
--- a/packages/wheatslipd/wheatslipd/controllers/bundles.py
+++ b/packages/wheatslipd/wheatslipd/controllers/bundles.py
@@ -1,4 +1,4 @@
-"""Controller of the bundle in force: only ever a newer, verified one replaces it."""
+"""Controller of the bundle in force: only a newer, verified bundle replaces it."""
 
 from circuits import Component
 from wheatslip.config.bundle import Bundle
@@ -11,7 +11,7 @@
 
 
 class BundleController(Component):
-    """Owns the version in force."""
+    """Owns the configuration in force."""
 
     channel = "*"
 
@@ -21,12 +21,12 @@
         self._metrics = metrics
 
     def bundle_verified(self, bundle: Bundle, head: Head) -> None:
-        """Put a verified bundle in force unless a newer one is."""
+        """Put a verified bundle in force if it is newer than the current one."""
         if bundle.version <= self._view.version:
             logs.debug("older-bundle-ignored", version=bundle.version, ours=self._view.version)
             return
         self._view.configuration = Configuration(bundle)
-        self._view.note_known()
+        self._view.update_initialized()
         self._metrics.bundle_version.set({}, bundle.version)
         logs.info("bundle-in-force", version=bundle.version, digest=head.digest[:12])
         self.fire(bundle_in_force(bundle))
--- a/packages/wheatslipd/wheatslipd/controllers/bus.py
+++ b/packages/wheatslipd/wheatslipd/controllers/bus.py
@@ -1,7 +1,8 @@
-"""The bus: circuits' event queue, flushed from asyncio's loop.
+"""The event bus: circuits' event queue, flushed from the asyncio event loop.
 
-circuits' own loop would poll beside asyncio's. Here nothing runs while no event waits: firing
-an event schedules a flush, and events that handlers fire are flushed in the same turn.
+The event loop of circuits would poll in parallel with asyncio's, so it is not used. Firing an
+event schedules a flush, and the events that handlers fire are flushed in the same iteration.
+Nothing runs while the queue is empty.
 """
 
 import asyncio
@@ -13,19 +14,19 @@
 
 
 class Bus(Component):
-    """Root of the controllers. Events are fired from the loop's thread only."""
+    """Root component of the controllers. Events must be fired from the loop's thread."""
 
     channel = "*"
 
     def __init__(self) -> None:
         super().__init__()
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._scheduled = False
-        # Done once a handler has failed, with its error; None before `attach`.
+        self._is_flush_scheduled = False
+        # Completes with the error when a handler fails; None before `attach`.
         self.failed: asyncio.Future[str] | None = None
 
     def attach(self) -> None:
-        """Flush from the running loop from now on."""
+        """Start to flush from the running event loop."""
         self._loop = asyncio.get_running_loop()
         self.failed = self._loop.create_future()
         self._schedule()
@@ -35,12 +36,12 @@
         self._schedule()
 
     def _schedule(self) -> None:
-        if self._loop is not None and not self._scheduled:
-            self._scheduled = True
+        if self._loop is not None and not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
             self._loop.call_soon(self._flush_all)
 
     def _flush_all(self) -> None:
-        self._scheduled = False
+        self._is_flush_scheduled = False
         while len(self):
             self.flush()
 
@@ -48,7 +49,9 @@
     def _on_exception(
         self, error_type: type, value: BaseException, traceback: list[str], **rest: Any
     ) -> None:
-        """A handler raised: its controller may be half changed, so the process must stop."""
+        """Report a failed handler: the state of its controller may be inconsistent, so the
+        process must stop.
+        """
         logs.error("controller-failed", error=repr(value), trace="".join(traceback))
         if self.failed is not None and not self.failed.done():
             self.failed.set_result(repr(value))
--- a/packages/wheatslipd/wheatslipd/controllers/events.py
+++ b/packages/wheatslipd/wheatslipd/controllers/events.py
@@ -1,4 +1,4 @@
-"""Events between the controllers: typed circuits events, named for what has happened."""
+"""Typed circuits events, which the parts of the daemon fire and the controllers handle."""
 
 from circuits import Event
 from wheatslip.config.bundle import Bundle
@@ -11,67 +11,70 @@
 
 
 class newer_version_seen(Event):
-    """The daemon at `address` (an IP number) has a newer bundle version than we."""
+    """The daemon at `address` (an IP address) has a newer bundle version than this one."""
 
     def __init__(self, version: int, address: str):
         super().__init__(version, address)
 
 
 class bundle_verified(Event):
-    """A bundle's signatures and digest were found good."""
+    """A bundle has passed the checks of its source and its digest."""
 
     def __init__(self, bundle: Bundle, head: Head):
         super().__init__(bundle, head)
 
 
 class bundle_in_force(Event):
-    """A bundle is in force in this daemon from now on."""
+    """A bundle was put in force in this daemon."""
 
     def __init__(self, bundle: Bundle):
         super().__init__(bundle)
 
 
-class instances_seen(Event):
-    """The platform's list, or changes of it, were read. `gone` holds names."""
+class instances_updated(Event):
+    """The instance list, or changes of it, arrived.
 
-    def __init__(self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool):
-        super().__init__(instances, gone, whole)
+    `removed` contains names. `whole` tells whether `instances` is the complete list.
+    """
+
+    def __init__(self, instances: tuple[Instance, ...], removed: tuple[str, ...], whole: bool):
+        super().__init__(instances, removed, whole)
 
 
 class zones_drained(Event):
-    """The zones that operators have emptied are these from now on."""
+    """A new set of zone drains arrived."""
 
     def __init__(self, drains: ZoneDrains):
         super().__init__(drains)
 
 
 class server_ended(Event):
-    """The backend server beside us ended without notice, while it ran requests."""
+    """The local backend server ended without notice while it ran requests."""
 
     def __init__(self, exposed: Exposed):
         super().__init__(exposed)
 
 
-class ends_reported(Event):
-    """These reports of ends of servers are new here."""
+class end_reports_received(Event):
+    """End reports arrived that this daemon did not have."""
 
     def __init__(self, reports: tuple[EndReport, ...]):
         super().__init__(reports)
 
 
 class backend_registered(Event):
-    """The backend server beside us registered, or changed what it says of itself."""
+    """The local backend server registered or changed its registration."""
 
     def __init__(self, registered: Registered):
         super().__init__(registered)
 
 
 class leaving(Event):
-    """This daemon and its backend server leave; `cause` is for the log."""
+    """This daemon and its backend server must drain; `cause` is logged."""
 
     def __init__(self, cause: str):
         super().__init__(cause)
 
 
-class returned(Event):
-    """The list shows this daemon as a new start: it was the one before that left."""
+class rejoined(Event):
+    """The list contains the entry of this process: only an earlier process was leaving."""
--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -1,4 +1,4 @@
-"""Controller of what concerns a daemon as a whole: leaving, bounds, its server, hints."""
+"""Controller of the daemon's lifecycle: draining, limits, the local backend server, hints."""
 
 from circuits import Component
 from wheatslip.admission import AdmissionSettings
@@ -15,7 +15,7 @@
 
 
 class Lifecycle(Component):
-    """Opens and closes the gate, applies a bundle's bounds, and follows hints."""
+    """Opens and closes the gate, applies a bundle's limits, and passes hints to the feed."""
 
     channel = "*"
 
@@ -27,7 +27,7 @@
         feed: Feed,
         own_server: OwnServer | None,
     ):
-        """`own_server` is None where the platform lists the instances."""
+        """`own_server` is None if the platform lists the instances."""
         super().__init__()
         self._settings = settings
         self._view = view
@@ -37,21 +37,21 @@
         self._own_server = own_server
 
     def leaving(self, cause: str) -> None:
-        """Take no new work; what is in flight goes on."""
+        """Stop accepting new requests; requests in flight continue."""
         if not self._view.leaving:
             logs.info("draining", cause=cause, in_flight=self._gate.admission.in_flight)
         self._view.leaving = True
         self._gate.server_leaves()
 
-    def returned(self) -> None:
-        """Take new work again: it was a start before this one that left."""
+    def rejoined(self) -> None:
+        """Accept new requests again: only an earlier process of this daemon was leaving."""
         if self._view.leaving and not self._view.stopping:
             logs.info("drain-taken-back")
             self._view.leaving = False
             self._gate.server_stays()
 
     def bundle_in_force(self, bundle: Bundle) -> None:
-        """Apply the limits of the own pool and the workspaces' shares."""
+        """Apply the limits of the own pool and the shares of the workspaces."""
         pool = next((p for p in bundle.pools if p.name == self._settings.pool), None)
         if pool is None:
             logs.warning("pool-not-in-bundle", pool=self._settings.pool, version=bundle.version)
@@ -64,7 +64,7 @@
         self._server_side.measurer.budget.per_second = pool.probes_per_second
 
     def backend_registered(self, registered: Registered) -> None:
-        """Apply what the backend server beside us reports, and publish it."""
+        """Apply the registration of the local backend server, and publish it."""
         assert self._own_server is not None
         self._server_side.peer_port.server = registered.server
         self._own_server.take_registration(registered)
@@ -75,14 +75,14 @@
             self._gate.server_stays()
         self._own_server.publish()
 
-    def instances_seen(
-        self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
+    def instances_updated(
+        self, instances: tuple[Instance, ...], removed: tuple[str, ...], whole: bool
     ) -> None:
-        """Compare the list, or changes of it, with the own entry."""
+        """Compare the own entry with the list, or with changes of it."""
         if self._own_server is not None:
-            self._own_server.check_entry(instances, gone, whole)
+            self._own_server.check_entry(instances, removed, whole)
 
     def newer_version_seen(self, version: int, address: str) -> None:
-        """Read a version that the daemon at `address` has, if it is newer than ours."""
+        """Fetch `version` from the daemon at `address` if it is newer than the one in force."""
         if version > self._view.version:
             self._feed.handle_version_hint(version, address)
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -1,9 +1,9 @@
-"""Controller of the members: the platform's list, turned into peers by pool.
+"""Controller of the members: converts the instance list into peers by pool.
 
-An entry may lapse while the platform is in trouble, although its backend server lives; its
-daemon writes it again within moments. So a peer whose entry vanishes is kept for `LAPSE_GRACE`,
-and removed if the entry is still missing then. One that was leaving or unreachable is removed
-at once.
+During an outage of the platform an entry may expire although its backend server is running; its
+daemon then writes the entry again. A peer whose entry disappears is therefore kept for
+`LAPSE_GRACE` and removed only if the entry is still missing then. A peer that was leaving or
+unreachable is removed at once.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from wheatslip.store.instances import Instance, InstanceState
 from wheatslip.upstream import Upstream
 
-from wheatslipd.controllers.events import leaving, returned
+from wheatslipd.controllers.events import leaving, rejoined
 from wheatslipd.controllers.view import Membership, Peer
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.settings import Settings
@@ -22,9 +22,9 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-PEER_CONNECTIONS = 256  # to one peer, at most
-# Seconds within which a daemon that lives writes a lapsed entry again: the users' platform asks
-# for that.
+MAX_CONNECTIONS_PER_PEER = 256
+# Seconds within which a running daemon writes its expired entry again, as the users' platform
+# requires.
 LAPSE_GRACE = 2.0
 
 
@@ -43,30 +43,33 @@
         self._monotonic = shared.monotonic
         self._unix = shared.unix
         self._peers: dict[str, Peer] = {}
-        self._missing: dict[str, asyncio.TimerHandle] = {}  # by name, to the end of the grace
+        # Timers that end the grace period of a missing entry, by name.
+        self._grace_timers: dict[str, asyncio.TimerHandle] = {}
         self._has_list = False
-        self._lists_itself = settings.lists_itself  # so its entry tells it nothing
-        self._left: int | None = None  # the incarnation of ours that was listed as leaving
+        # True: this daemon writes its own entry, so the entry contains nothing new for it.
+        self._lists_itself = settings.lists_itself
+        # The incarnation of this daemon that was listed as leaving.
+        self._leaving_incarnation: int | None = None
 
-    def instances_seen(
-        self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
+    def instances_updated(
+        self, instances: tuple[Instance, ...], removed: tuple[str, ...], whole: bool
     ) -> None:
-        """Take over the list, or changes of it."""
+        """Apply the complete list, or changes of it."""
         if whole:
             listed = {instance.name for instance in instances}
-            gone = tuple(name for name in self._peers if name not in listed)
-        for name in gone:
-            self._on_missing(name)
+            removed = tuple(name for name in self._peers if name not in listed)
+        for name in removed:
+            self._handle_missing_entry(name)
         for instance in instances:
-            self._stop_grace(instance.name)
+            self._cancel_grace(instance.name)
             self._update(instance)
         self._has_list = True
         self._publish()
 
-    def _on_missing(self, name: str) -> None:
-        """An entry vanished: remove its peer, at once or after the grace."""
+    def _handle_missing_entry(self, name: str) -> None:
+        """Remove the peer of a missing entry, at once or after the grace period."""
         peer = self._peers.get(name)
-        if peer is None or name in self._missing:
+        if peer is None or name in self._grace_timers:
             return
         upstream = peer.upstream
         if upstream.leaving or upstream.unreachable_since is not None:
@@ -74,64 +77,68 @@
             return
         logs.info("entry-missing", name=name, grace=LAPSE_GRACE)
         loop = asyncio.get_running_loop()
-        self._missing[name] = loop.call_later(LAPSE_GRACE, self._remove_missing, name)
+        self._grace_timers[name] = loop.call_later(LAPSE_GRACE, self._remove_missing, name)
 
-    def _stop_grace(self, name: str) -> None:
-        """The entry is listed again, or its peer is removed: end the grace, if one runs."""
-        timer = self._missing.pop(name, None)
+    def _cancel_grace(self, name: str) -> None:
+        """Cancel the grace period, if any: the entry is listed again or its peer is removed."""
+        timer = self._grace_timers.pop(name, None)
         if timer is not None:
             timer.cancel()
 
     def _remove_missing(self, name: str) -> None:
-        """The entry is still missing after the grace."""
+        """Remove the peer of an entry that is still missing after the grace period."""
         logs.info("entry-gone", name=name)
         self._remove(name)
         self._publish()
 
     def _update(self, instance: Instance) -> None:
-        known = self._peers.get(instance.name)
-        if known is not None and instance.incarnation < known.instance.incarnation:
+        peer = self._peers.get(instance.name)
+        if peer is not None and instance.incarnation < peer.instance.incarnation:
             return
-        if known is None or not self._is_same_start(known.instance, instance):
-            if known is not None:
+        if peer is None or not self._is_same_process(peer.instance, instance):
+            if peer is not None:
                 self._remove(instance.name)
             self._peers[instance.name] = self._new_peer(instance)
         else:
-            known.instance = instance
+            peer.instance = instance
         is_leaving = instance.state is InstanceState.LEAVING
         self._peers[instance.name].upstream.listed_leaving |= is_leaving
         if instance.name == self._name and not self._lists_itself:
-            self._take_own(instance, is_leaving)
+            self._handle_own_entry(instance, is_leaving)
 
-    def _take_own(self, instance: Instance, is_leaving: bool) -> None:
-        """Follow the list where it marks this daemon as leaving, or as started anew.
+    def _handle_own_entry(self, instance: Instance, is_leaving: bool) -> None:
+        """Fire an event if the list marks this daemon as leaving, or as restarted.
 
-        The list lags: its first entry may be that of the start before, under the same name.
+        The list lags behind: the first entry that it contains under the own name may be that of
+        an earlier process.
         """
         if is_leaving:
-            self._left = instance.incarnation
+            self._leaving_incarnation = instance.incarnation
             self.fire(leaving("listed as leaving"))
-        elif self._left is not None and instance.incarnation > self._left:
-            self._left = None
-            self.fire(returned())
+        elif (
+            self._leaving_incarnation is not None
+            and instance.incarnation > self._leaving_incarnation
+        ):
+            self._leaving_incarnation = None
+            self.fire(rejoined())
 
     def _new_peer(self, instance: Instance) -> Peer:
-        # A peer of the first list was here before this daemon, and counts as warmed up.
+        # A peer in the first list may have started before this daemon, so it counts as warm.
         joined = self._monotonic() if self._has_list else 0.0
         upstream = Upstream(instance.name, instance.zone, joined=joined)
         connections = ConnectionPool(
-            instance.address, instance.peer_port, PEER_CONNECTIONS, self._tls.client
+            instance.address, instance.peer_port, MAX_CONNECTIONS_PER_PEER, self._tls.client
         )
         return Peer(instance, upstream, connections)
 
     def _remove(self, name: str) -> None:
-        self._stop_grace(name)
+        self._cancel_grace(name)
         peer = self._peers.pop(name, None)
         if peer is not None:
             peer.connections.close()
 
     @staticmethod
-    def _is_same_start(old: Instance, new: Instance) -> bool:
+    def _is_same_process(old: Instance, new: Instance) -> bool:
         return (old.incarnation, old.address, old.peer_port) == (
             new.incarnation,
             new.address,
@@ -145,7 +152,7 @@
             pools.setdefault(peer.instance.pool, []).append(peer)
         frozen = MappingProxyType({pool: tuple(peers) for pool, peers in pools.items()})
         self._view.membership = Membership(frozen)
-        self._view.note_known()
+        self._view.update_initialized()
         members = [peer.instance.name for peer in frozen.get(self._pool, ())]
         self._owners.change(members, self._unix())
         logs.info("members", instances=len(self._peers), own_pool=len(members))
--- a/packages/wheatslipd/wheatslipd/controllers/quarantine.py
+++ b/packages/wheatslipd/wheatslipd/controllers/quarantine.py
@@ -1,7 +1,7 @@
-"""Controller of what is held against requests under which servers have ended.
+"""Controller of the quarantine of requests that were running when a backend server ended.
 
-It makes a report when the local server ends, takes those of all daemons into the quarantine
-that entry and gate read, and lifts what operators tell it to.
+It creates an end report when the local backend server ends, adds the reports of all daemons to
+the quarantine that entry and gate read, and lifts the quarantine of a request for an operator.
 """
 
 from collections.abc import Callable
@@ -19,13 +19,13 @@
 
 from wheatslipd.telemetry import logs
 
-# Drawn at random for a report's id, beside the daemon's name: a start of the daemon after this
-# one must not give the same id again.
-ID_BITS = 32
+# A report's id consists of the daemon's name and random bits: the daemon must not use an id
+# again after a restart.
+REPORT_ID_RANDOM_BITS = 32
 
 
 class QuarantineController(Component):
-    """Owns the quarantine of one daemon."""
+    """Maintains the quarantine of one daemon."""
 
     channel = "*"
 
@@ -38,26 +38,28 @@
         rng: Random,
         unix: Callable[[], float],
     ):
-        """`name` is the daemon's, `pool` that of the local server; `report` passes a report on
-        to all daemons; `unix` in seconds.
+        """`name` is the daemon's name, and `pool` the pool of the local backend server.
+        `report` sends a report to all daemons. `unix` returns the Unix time in seconds.
         """
         super().__init__()
         self._quarantine = quarantine
         self._name = name
         self._pool = pool
-        self._report = report
+        self._publish_report = report
         self._rng = rng
         self._unix = unix
 
     def server_ended(self, exposed: Exposed) -> None:
-        """The local server ended without notice, while it ran requests."""
+        """Report the requests that may have caused the end of the local backend server."""
         latest = exposed.suspects[-MAX_REPORTED:]
         if latest:
             fingerprints = tuple(run.fingerprint for run in latest)
-            self._report(ServerEnd(self._new_id(), self._unix(), self._pool, fingerprints))
+            self._publish_report(
+                ServerEnd(self._new_id(), self._unix(), self._pool, fingerprints)
+            )
 
-    def ends_reported(self, reports: tuple[EndReport, ...]) -> None:
-        """Take reports that are new here."""
+    def end_reports_received(self, reports: tuple[EndReport, ...]) -> None:
+        """Add new reports to the quarantine."""
         now = self._unix()
         for report in reports:
             for fingerprint in self._quarantine.take(report, now):
@@ -67,12 +69,12 @@
                 logs.info("request-lifted", fingerprint=report.fingerprint)
 
     def lift(self, fingerprint: str) -> bool:
-        """Let a held request run again, at all daemons; whether it was held here."""
+        """Let a held request run again at all daemons; return whether this one held it."""
         now = self._unix()
         if not self._quarantine.held_for(fingerprint, now):
             return False
-        self._report(Lift(self._new_id(), now, fingerprint))
+        self._publish_report(Lift(self._new_id(), now, fingerprint))
         return True
 
     def _new_id(self) -> str:
-        return f"{self._name}/{self._rng.getrandbits(ID_BITS):08x}"
+        return f"{self._name}/{self._rng.getrandbits(REPORT_ID_RANDOM_BITS):08x}"
--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -1,6 +1,7 @@
-"""What the request path knows of configuration and membership: replaced whole, never edited.
+"""The state of configuration and membership that the request path reads.
 
-Controllers publish here; filters only read. All run in the loop's thread.
+Controllers replace whole objects and never modify a published one; filters only read. All of
+them run in the event loop's thread.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class Peer:
-    """Another daemon (or this one) as a way to its backend server."""
+    """A daemon, possibly this one, through which its backend server is reached."""
 
     instance: Instance
     upstream: Upstream
@@ -26,7 +27,7 @@
 
 
 class Configuration:
-    """A bundle in force, indexed for look-ups."""
+    """A bundle in force, indexed for lookups."""
 
     def __init__(self, bundle: Bundle):
         self.version = bundle.version
@@ -36,32 +37,30 @@
         self._by_credential = {w.credential_sha256: w for w in bundle.workspaces}
 
     def workspace_of(self, credential_sha256: str) -> Workspace | None:
-        """The workspace that a credential's hash belongs to."""
         return self._by_credential.get(credential_sha256)
 
 
 @dataclass(slots=True)
 class Membership:
-    """The peers by pool and by name."""
+    """The peers by pool."""
 
     pools: Mapping[str, tuple[Peer, ...]] = field(default_factory=dict)
 
     def peers(self, pool: str) -> tuple[Peer, ...]:
-        """The peers of a pool."""
         return self.pools.get(pool, ())
 
 
 @dataclass(slots=True)
 class View:
-    """The present state, as the request path sees it.
+    """The current state, as the request path reads it.
 
-    `drains` are the zone drains; None: not known yet, so nothing may be sent. `known` is set
-    once there are a configuration, the zone drains and a list of instances. At the start,
-    requests wait for these until `expected_until` (seconds, monotonic).
+    `drains` is None until the zone drains have been received; nothing may be sent before.
+    `known` is set once a configuration, the zone drains and an instance list are present. At
+    the start, requests wait for these until `expected_until` (seconds, monotonic clock).
 
-    `leaving`: the backend server here takes no new work; the entry still forwards callers'
-    requests to others. `stopping`: the health page and a "connection: close" on each answer
-    ask callers to go elsewhere. `closed`: no request is taken any more.
+    `leaving`: the local backend server accepts no new requests; the entry still forwards
+    requests to other backend servers. `stopping`: the health page and a "connection: close"
+    header on each response ask callers to use another daemon. `closed`: no request is accepted.
     """
 
     configuration: Configuration | None = None
@@ -73,13 +72,13 @@
     expected_until: float = float("-inf")
     known: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def note_known(self) -> None:
-        """Set `known` if nothing is missing any more. To be called after each change."""
+    def update_initialized(self) -> None:
+        """Set `known` if all parts are present. Must be called after each change."""
         if self.configuration is not None and self.drains is not None and self.membership.pools:
             self.known.set()
 
     def peers(self, pool: str) -> tuple[Peer, ...]:
-        """The peers of a pool to which requests may go: those of drained zones are left out."""
+        """Return the eligible peers of a pool: those that are not in a drained zone."""
         peers = self.membership.peers(pool)
         if self.drains is None or not self.drains.drains:
             return peers
@@ -88,5 +87,5 @@
 
     @property
     def version(self) -> int:
-        """The bundle version in force here; 0 if none is."""
+        """Version of the bundle in force; 0 if there is none."""
         return self.configuration.version if self.configuration else 0
--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -1,8 +1,8 @@
 """Controller of the zone drains: entries send nothing to a drained zone, and its gates close.
 
-A gate is the only way to its server, so nothing new gets there even from an entry that does not
-know of the drain yet. While a zone was drained its servers may have turned cold, so after it is
-restored the gate has its server asked.
+Every request to a backend server passes its gate, so a closed gate also stops new requests from
+an entry that has not received the drain yet. The backend servers of a drained zone may become
+cold, so the gate probes its backend server after the zone is restored.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class ZoneController(Component):
-    """Owns the set of drained zones, as far as this daemon knows it."""
+    """Owns this daemon's set of zone drains."""
 
     channel = "*"
 
@@ -37,28 +37,30 @@
         self._unix = unix
 
     def zones_drained(self, drains: ZoneDrains) -> None:
-        """Take over a set of zone drains that is not older than the present one."""
-        before = self._view.drains
-        known = before.zones if before is not None else frozenset()
-        if before is not None and drains.version < before.version:
-            logs.debug("older-zone-drains-ignored", version=drains.version, ours=before.version)
+        """Apply a set of zone drains unless it is older than the current one."""
+        previous = self._view.drains
+        previous_zones = previous.zones if previous is not None else frozenset()
+        if previous is not None and drains.version < previous.version:
+            logs.debug(
+                "older-zone-drains-ignored", version=drains.version, ours=previous.version
+            )
             return
         self._view.drains = drains
-        self._view.note_known()
-        self._log_changes(known, drains)
+        self._view.update_initialized()
+        self._log_changes(previous_zones, drains)
         self._metrics.zones_drained.set({}, len(drains.drains))
         if self._zone in drains.zones:
             self._gate.zone_drained()
-        elif before is None:
+        elif previous is None:
             self._gate.zone_not_drained()
-        elif self._zone in known:
+        elif self._zone in previous_zones:
             self._gate.zone_restored()
 
-    def _log_changes(self, known: frozenset[str], drains: ZoneDrains) -> None:
+    def _log_changes(self, previous_zones: frozenset[str], drains: ZoneDrains) -> None:
         for drain in drains.drains:
-            if drain.zone not in known:
+            if drain.zone not in previous_zones:
                 age = round(self._unix() - drain.since, 1) if drain.since else None
                 asked_by = drain.asked_by or "-"
                 logs.info("zone-emptied", zone=drain.zone, asked_by=asked_by, age=age)
-        for zone in sorted(known - drains.zones):
+        for zone in sorted(previous_zones - drains.zones):
             logs.info("zone-restored", zone=zone, version=drains.version)
--- a/packages/wheatslipd/wheatslipd/feed/cachewriter.py
+++ b/packages/wheatslipd/wheatslipd/feed/cachewriter.py
@@ -21,8 +21,8 @@
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.controllers.events import (
     bundle_verified,
-    ends_reported,
-    instances_seen,
+    end_reports_received,
+    instances_updated,
     zones_drained,
 )
 from wheatslipd.feed.position import RelayPosition
@@ -111,7 +111,7 @@
         if new:
             self._relay.notify_followers()
             self.on_end_reports()
-            self._bus.fire(ends_reported(new))
+            self._bus.fire(end_reports_received(new))
 
     def apply_update(self, update: Update, source: str) -> None:
         """Apply an update from the daemon `source`."""
@@ -160,7 +160,7 @@
         present = tuple(c.instance for c in changes if c.instance is not None)
         removed = tuple(c.name for c in changes if c.instance is None)
         if whole or changes:
-            self._bus.fire(instances_seen(present, removed, whole))
+            self._bus.fire(instances_updated(present, removed, whole))
             self._position.update(self.cache.instances.values())
         self._relay.notify_followers()
 
