--- a/packages/wheatslipd/wheatslipd/feed/access.py
+++ b/packages/wheatslipd/wheatslipd/feed/access.py
@@ -8,7 +8,7 @@
 from wheatslip.store.objects import Listing, ObjectStore, Unavailable, follow
 
 from wheatslipd.feed.cachewriter import CacheWriter
-from wheatslipd.feed.feedpace import FeedPace
+from wheatslipd.feed.feedpace import FeedSettings
 from wheatslipd.telemetry import logs
 
 
@@ -24,7 +24,7 @@
 
     store: ObjectStore
     cache_writer: CacheWriter
-    settings: FeedPace
+    settings: FeedSettings
     rng: Random
 
     def backoff(self) -> Backoff:
--- a/packages/wheatslipd/wheatslipd/feed/feedpace.py
+++ b/packages/wheatslipd/wheatslipd/feed/feedpace.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FeedPace:
+class FeedSettings:
     """How often a daemon calls the platform. Times are in seconds."""
 
     watchers: int = WATCHERS  # daemons of each zone that read the platform
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -25,7 +25,7 @@
     parse_port,
 )
 
-from wheatslipd.feed.feedpace import FeedPace
+from wheatslipd.feed.feedpace import FeedSettings
 
 
 class LogLevel(IntEnum):
@@ -127,7 +127,7 @@
     recovery_probe: float
     check_price: float
     checks_per_second: float
-    feed: FeedPace
+    feed: FeedSettings
     stop_listening_after: float
 
     @property
@@ -222,9 +222,9 @@
     )
 
 
-def _feed(control: Section, platform: Section) -> FeedPace:
-    default = FeedPace()
-    return FeedPace(
+def _feed(control: Section, platform: Section) -> FeedSettings:
+    default = FeedSettings()
+    return FeedSettings(
         watchers=control.integer("watchers", default.watchers, 1, 1000),
         watch=control.duration("watch", default.watch),
         watch_check=control.duration("watch-check", default.watch_check),
--- a/test/test_silent_watch.py
+++ b/test/test_silent_watch.py
@@ -17,7 +17,7 @@
 from wheatslip.store.objects import Listing, StoredObject, Unavailable
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed.feed import Feed, Member, Surroundings
-from wheatslipd.feed.feedpace import FeedPace
+from wheatslipd.feed.feedpace import FeedSettings
 from wheatslipd.feed.proof import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
@@ -91,7 +91,7 @@
 
 
 def feed_on(store):
-    pace = FeedPace(watch=WATCH, watch_check=1.0, list_watch=WATCH)
+    pace = FeedSettings(watch=WATCH, watch_check=1.0, list_watch=WATCH)
     around = Surroundings(store, PeerTls(), Random(1), time.time)
     return Feed(Member("a", "one", pace), around, TrustedPlatformVerifier(), Bus())
 
