--- a/packages/wheatslipd/wheatslipd/feed/access.py
+++ b/packages/wheatslipd/wheatslipd/feed/access.py
@@ -8,7 +8,7 @@
 from wheatslip.store.objects import Listing, ObjectStore, Unavailable, follow
 
 from wheatslipd.feed.cachewriter import CacheWriter
-from wheatslipd.feed.feedpace import FeedSettings
+from wheatslipd.feed.feedsettings import FeedSettings
 from wheatslipd.telemetry import logs
 
 
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -18,7 +18,7 @@
 from wheatslipd.feed.cachewriter import CacheWriter
 from wheatslipd.feed.endreporter import EndReporter
 from wheatslipd.feed.endstore import EndStore
-from wheatslipd.feed.feedpace import FeedSettings
+from wheatslipd.feed.feedsettings import FeedSettings
 from wheatslipd.feed.hinthandler import HintHandler
 from wheatslipd.feed.parentfollower import ParentFollower
 from wheatslipd.feed.position import RelayPosition
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -25,7 +25,7 @@
     parse_port,
 )
 
-from wheatslipd.feed.feedpace import FeedSettings
+from wheatslipd.feed.feedsettings import FeedSettings
 
 
 class LogLevel(IntEnum):
--- a/test/test_silent_watch.py
+++ b/test/test_silent_watch.py
@@ -17,7 +17,7 @@
 from wheatslip.store.objects import Listing, StoredObject, Unavailable
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed.feed import Feed, Member, Surroundings
-from wheatslipd.feed.feedpace import FeedSettings
+from wheatslipd.feed.feedsettings import FeedSettings
 from wheatslipd.feed.proof import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -36,7 +36,7 @@
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed import relay
 from wheatslipd.feed.feed import Feed, Member, Surroundings
-from wheatslipd.feed.feedpace import FeedSettings
+from wheatslipd.feed.feedsettings import FeedSettings
 from wheatslipd.feed.proof import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
