--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class FeedDependencies:
     """External dependencies of a feed: the platform, peer TLS, random numbers and the clock."""
 
     store: ObjectStore
@@ -57,7 +57,7 @@
     """Keeps one daemon's copy of the platform's objects up to date."""
 
     def __init__(
-        self, daemon: Member, dependencies: Surroundings, verifier: Verifier, bus: Bus
+        self, daemon: Member, dependencies: FeedDependencies, verifier: Verifier, bus: Bus
     ):
         """`verifier` decides what may be put in force; events are fired on `bus`."""
         name, tls, rng = daemon.name, dependencies.tls, dependencies.rng
