--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -23,7 +23,7 @@
 from wheatslipd.controllers.view import View
 from wheatslipd.controllers.zones import ZoneController
 from wheatslipd.entry.wiring import build_entry
-from wheatslipd.feed.feed import Feed, FeedDependencies, Member
+from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
 from wheatslipd.feed.proof import proof_of
 from wheatslipd.gate.serverside import build_server_side
 from wheatslipd.http.server import Server
@@ -88,7 +88,7 @@
 
         # Configuration, zone drains and the list of instances, which all parts below read.
         self.feed = Feed(
-            Member(settings.name, settings.zone, settings.feed),
+            LocalDaemon(settings.name, settings.zone, settings.feed),
             FeedDependencies(store, tls, rng, unix),
             proof_of(settings),
             self.bus,
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class LocalDaemon:
     """The daemon that a feed belongs to, and its feed settings."""
 
     name: str
@@ -57,7 +57,7 @@
     """Keeps one daemon's copy of the platform's objects up to date."""
 
     def __init__(
-        self, daemon: Member, dependencies: FeedDependencies, verifier: Verifier, bus: Bus
+        self, daemon: LocalDaemon, dependencies: FeedDependencies, verifier: Verifier, bus: Bus
     ):
         """`verifier` decides what may be put in force; events are fired on `bus`."""
         name, tls, rng = daemon.name, dependencies.tls, dependencies.rng
--- a/test/test_silent_watch.py
+++ b/test/test_silent_watch.py
@@ -16,7 +16,7 @@
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.store.objects import Listing, StoredObject, Unavailable
 from wheatslipd.controllers.bus import Bus
-from wheatslipd.feed.feed import Feed, FeedDependencies, Member
+from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
 from wheatslipd.feed.feedsettings import FeedSettings
 from wheatslipd.feed.proof import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
@@ -93,7 +93,7 @@
 def feed_on(store):
     pace = FeedSettings(watch=WATCH, watch_check=1.0, list_watch=WATCH)
     around = FeedDependencies(store, PeerTls(), Random(1), time.time)
-    return Feed(Member("a", "one", pace), around, TrustedPlatformVerifier(), Bus())
+    return Feed(LocalDaemon("a", "one", pace), around, TrustedPlatformVerifier(), Bus())
 
 
 async def in_force(feed, version):
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -35,7 +35,7 @@
 from wheatslip.store.objectclient import ObjectClient
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed import relay
-from wheatslipd.feed.feed import Feed, FeedDependencies, Member
+from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
 from wheatslipd.feed.feedsettings import FeedSettings
 from wheatslipd.feed.proof import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
@@ -172,7 +172,7 @@
         await giver.listen(HOST, 0)
         store = CountingStore()
         feed = Feed(
-            Member("b", "one", FeedSettings()),
+            LocalDaemon("b", "one", FeedSettings()),
             FeedDependencies(store, PeerTls(), Random(1), time.time),
             TrustedPlatformVerifier(),
             Bus(),
