--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -24,7 +24,7 @@
 from wheatslipd.controllers.zones import ZoneController
 from wheatslipd.entry.wiring import build_entry
 from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
-from wheatslipd.feed.proof import proof_of
+from wheatslipd.feed.proof import create_verifier
 from wheatslipd.gate.serverside import build_server_side
 from wheatslipd.http.server import Server
 from wheatslipd.registration.ownserver import ListedPorts, OwnServer
@@ -90,7 +90,7 @@
         self.feed = Feed(
             LocalDaemon(settings.name, settings.zone, settings.feed),
             FeedDependencies(store, tls, rng, unix),
-            proof_of(settings),
+            create_verifier(settings),
             self.bus,
         )
         # A request's way: the entry of one daemon, then the server side of another or this one.
--- a/packages/wheatslipd/wheatslipd/feed/proof.py
+++ b/packages/wheatslipd/wheatslipd/feed/proof.py
@@ -61,7 +61,7 @@
         return True
 
 
-def proof_of(settings: Settings) -> Verifier:
+def create_verifier(settings: Settings) -> Verifier:
     """Return the verifier for the configured source of the configuration."""
     if settings.source is ConfigurationSource.TRUSTED:
         return TrustedPlatformVerifier()
