--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -24,7 +24,7 @@
 from wheatslipd.controllers.zones import ZoneController
 from wheatslipd.entry.wiring import build_entry
 from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
-from wheatslipd.feed.proof import create_verifier
+from wheatslipd.feed.verifier import create_verifier
 from wheatslipd.gate.serverside import build_server_side
 from wheatslipd.http.server import Server
 from wheatslipd.registration.ownserver import ListedPorts, OwnServer
--- a/packages/wheatslipd/wheatslipd/feed/__init__.py
+++ b/packages/wheatslipd/wheatslipd/feed/__init__.py
@@ -23,7 +23,7 @@
 find a parent. When no parent sends anything new, it reads again what it does not watch itself:
 its list may be too old to contain the current address of any parent.
 
-`cachewriter` checks updates from every source and is the only writer of the cache. `proof`
+`cachewriter` checks updates from every source and is the only writer of the cache. `verifier`
 decides whether a bundle or a zone drain may be put in force. `feed` creates the parts and runs
 them.
 """
--- a/packages/wheatslipd/wheatslipd/feed/cachewriter.py
+++ b/packages/wheatslipd/wheatslipd/feed/cachewriter.py
@@ -26,8 +26,8 @@
     zones_drained,
 )
 from wheatslipd.feed.position import RelayPosition
-from wheatslipd.feed.proof import Verifier
 from wheatslipd.feed.relay import RelayServer
+from wheatslipd.feed.verifier import Verifier
 from wheatslipd.telemetry import logs
 
 
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -22,10 +22,10 @@
 from wheatslipd.feed.hinthandler import HintHandler
 from wheatslipd.feed.parentfollower import ParentFollower
 from wheatslipd.feed.position import RelayPosition
-from wheatslipd.feed.proof import Verifier
 from wheatslipd.feed.reader import PlatformReader
 from wheatslipd.feed.relay import HEARTBEAT_SECONDS, RelayServer
 from wheatslipd.feed.tasks import run_until_first_completes
+from wheatslipd.feed.verifier import Verifier
 from wheatslipd.feed.watchcheck import HEAD_REFRESH_SECONDS
 from wheatslipd.feed.watching import ListWatch, StateWatch
 from wheatslipd.telemetry import logs
--- a/test/test_silent_watch.py
+++ b/test/test_silent_watch.py
@@ -18,7 +18,7 @@
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
 from wheatslipd.feed.feedsettings import FeedSettings
-from wheatslipd.feed.proof import TrustedPlatformVerifier
+from wheatslipd.feed.verifier import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
 from standins.cluster import eventually
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -37,7 +37,7 @@
 from wheatslipd.feed import relay
 from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
 from wheatslipd.feed.feedsettings import FeedSettings
-from wheatslipd.feed.proof import TrustedPlatformVerifier
+from wheatslipd.feed.verifier import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
 from fleet_adapter.store import FleetStore
