--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -55,8 +55,8 @@
     """The current state, as the request path reads it.
 
     `drains` is None until the zone drains have been received; nothing may be sent before.
-    `known` is set once a configuration, the zone drains and an instance list are present. At
-    the start, requests wait for these until `expected_until` (seconds, monotonic clock).
+    `initialized` is set once a configuration, the zone drains and an instance list are present.
+    At the start, requests wait for these until `expected_until` (seconds, monotonic clock).
 
     `leaving`: the local backend server accepts no new requests; the entry still forwards
     requests to other backend servers. `stopping`: the health page and a "connection: close"
@@ -70,12 +70,12 @@
     stopping: bool = False
     closed: bool = False
     expected_until: float = float("-inf")
-    known: asyncio.Event = field(default_factory=asyncio.Event)
+    initialized: asyncio.Event = field(default_factory=asyncio.Event)
 
     def update_initialized(self) -> None:
-        """Set `known` if all parts are present. Must be called after each change."""
+        """Set `initialized` if all parts are present. Must be called after each change."""
         if self.configuration is not None and self.drains is not None and self.membership.pools:
-            self.known.set()
+            self.initialized.set()
 
     def peers(self, pool: str) -> tuple[Peer, ...]:
         """Return the eligible peers of a pool: those that are not in a drained zone."""
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -93,7 +93,7 @@
         """Fix the configuration that the request is served under."""
         if self.view.closed:
             return STOPPING
-        if not self.view.known.is_set():
+        if not self.view.initialized.is_set():
             await self._wait_for_start()
         if self.view.configuration is None or self.view.drains is None:
             return NOT_CONFIGURED
@@ -105,7 +105,7 @@
         left = self.view.expected_until - self.clock()
         with suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, left)):
-                await self.view.known.wait()
+                await self.view.initialized.wait()
 
 
 class IdentifyFilter:
