--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -56,7 +56,7 @@
 
     `drains` is None until the zone drains have been received; nothing may be sent before.
     `initialized` is set once a configuration, the zone drains and an instance list are present.
-    At the start, requests wait for these until `expected_until` (seconds, monotonic clock).
+    At the start, requests wait for these until `startup_deadline` (seconds, monotonic clock).
 
     `leaving`: the local backend server accepts no new requests; the entry still forwards
     requests to other backend servers. `stopping`: the health page and a "connection: close"
@@ -69,7 +69,7 @@
     leaving: bool = False
     stopping: bool = False
     closed: bool = False
-    expected_until: float = float("-inf")
+    startup_deadline: float = float("-inf")
     initialized: asyncio.Event = field(default_factory=asyncio.Event)
 
     def update_initialized(self) -> None:
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -199,7 +199,7 @@
     async def _listen(self) -> None:
         """Listen for requests, other daemons and heartbeats. Raises OSError."""
         settings = self.settings
-        self.view.expected_until = self._shared.monotonic() + START_SECONDS
+        self.view.startup_deadline = self._shared.monotonic() + START_SECONDS
         await self.entry_server.listen(settings.address, settings.entry_port)
         await self.peer_server.listen(settings.address, settings.peer_port)
         await self.feed.relay.listen(settings.address, settings.control_port)
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -102,7 +102,7 @@
 
     async def _wait_for_start(self) -> None:
         """Wait until what requests need is known, as long as that is expected."""
-        left = self.view.expected_until - self.clock()
+        left = self.view.startup_deadline - self.clock()
         with suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, left)):
                 await self.view.initialized.wait()
