--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -2,8 +2,8 @@
 
 During an outage of the platform an entry may expire although its backend server is running; its
 daemon then writes the entry again. A peer whose entry disappears is therefore kept for
-`LAPSE_GRACE` and removed only if the entry is still missing then. A peer that was leaving or
-unreachable is removed at once.
+`LAPSE_GRACE_SECONDS` and removed only if the entry is still missing then. A peer that was
+leaving or unreachable is removed at once.
 """
 
 import asyncio
@@ -23,9 +23,9 @@
 from wheatslipd.tls import PeerTls
 
 MAX_CONNECTIONS_PER_PEER = 256
-# Seconds within which a running daemon writes its expired entry again, as the users' platform
+# A running daemon writes its expired entry again within this time, as the users' platform
 # requires.
-LAPSE_GRACE = 2.0
+LAPSE_GRACE_SECONDS = 2.0
 
 
 class MembershipController(Component):
@@ -75,9 +75,11 @@
         if upstream.leaving or upstream.unreachable_since is not None:
             self._remove(name)
             return
-        logs.info("entry-missing", name=name, grace=LAPSE_GRACE)
+        logs.info("entry-missing", name=name, grace=LAPSE_GRACE_SECONDS)
         loop = asyncio.get_running_loop()
-        self._grace_timers[name] = loop.call_later(LAPSE_GRACE, self._remove_missing, name)
+        self._grace_timers[name] = loop.call_later(
+            LAPSE_GRACE_SECONDS, self._remove_missing, name
+        )
 
     def _cancel_grace(self, name: str) -> None:
         """Cancel the grace period, if any: the entry is listed again or its peer is removed."""
--- a/packages/wheatslipd/wheatslipd/registration/publisher.py
+++ b/packages/wheatslipd/wheatslipd/registration/publisher.py
@@ -17,7 +17,7 @@
 from wheatslipd.telemetry import logs
 
 # Longest wait in seconds before a write is tried again. Others drop a
-# daemon whose entry is missing for longer than `membership.LAPSE_GRACE`.
+# daemon whose entry is missing for longer than `membership.LAPSE_GRACE_SECONDS`.
 RETRY_LAST = 1.0
 # Seconds that the first write waits for the list. Without the list a
 # daemon that starts again needs three calls (refused creation, read, write) instead of one.
