--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -97,9 +97,9 @@
         )
 
     @property
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Whether this daemon reads the platform for its zone."""
-        return self._position.watches
+        return self._position.is_watcher
 
     @property
     def parent(self) -> str:
@@ -179,7 +179,7 @@
             await self._reader.read_list_until_listed()
         while True:
             self._position.role_changed.clear()
-            if self.watches:
+            if self.is_watcher:
                 await self._watch_platform()
             else:
                 await self._follower.run()
--- a/packages/wheatslipd/wheatslipd/feed/parentfollower.py
+++ b/packages/wheatslipd/wheatslipd/feed/parentfollower.py
@@ -115,7 +115,7 @@
             listed=self._cache_writer.cache.listed,
             repeat_key="parents-without-news",
         )
-        if self._position.watches:
+        if self._position.is_watcher:
             await self._reader.read_list(stale_ok=True)
         else:
             await self._reader.read_all()
@@ -157,7 +157,7 @@
         each other, their own watches keep the head current, but neither receives a list.
         """
         loop = asyncio.get_running_loop()
-        needs_list = self._position.watches and not self._position.watches_list
+        needs_list = self._position.is_watcher and not self._position.watches_list
         head = StalenessTracker(STALE_TIMEOUT_SECONDS, loop.time())
         list_tracker = StalenessTracker(list_stale_timeout(self._list_watch), loop.time())
         had_new_data = False
--- a/packages/wheatslipd/wheatslipd/feed/position.py
+++ b/packages/wheatslipd/wheatslipd/feed/position.py
@@ -32,7 +32,7 @@
         self.parents_changed = asyncio.Event()
 
     @property
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Whether this daemon reads the platform for its zone."""
         return is_watcher(self.name, self._order, self._watchers)
 
@@ -48,7 +48,7 @@
 
     def parents(self) -> list[str]:
         """Return the names of the daemons to follow, in the order in which to try them."""
-        if self.watches:
+        if self.is_watcher:
             return ring_parents_of(self.name, self._ring)
         return parents_of(self.name, self._order, self._watchers)
 
@@ -57,7 +57,7 @@
 
         None if this daemon does not read the platform.
         """
-        if not self.watches or self.name not in self._order:
+        if not self.is_watcher or self.name not in self._order:
             return None
         rank = self._order.index(self.name)
         return rank if zone == self._zone else self._watchers + rank
@@ -87,7 +87,7 @@
         return watcher_ring(orders, self._watchers)
 
     def _role(self) -> tuple[bool, bool]:
-        return self.watches, self.watches_list
+        return self.is_watcher, self.watches_list
 
 
 def _names_by_zone(instances: Iterable[Instance]) -> dict[str, set[str]]:
--- a/packages/wheatslipd/wheatslipd/telemetry/statereport.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/statereport.py
@@ -48,7 +48,7 @@
             limit=admission.limit.value,
             members=sum(len(peers) for peers in view.membership.pools.values()),
             platform_calls=feed.client.calls,
-            watches=feed.watches,
+            watches=feed.is_watcher,
             parent=feed.parent,
             head_age=feed.head_age,
             emptied_zones=tuple(sorted(view.drains.zones)) if view.drains else (),
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -158,8 +158,8 @@
 
 def roles(installation):
     nodes = installation.nodes.values()
-    watching = [node for node in nodes if node.daemon.feed.watches]
-    return watching, [node for node in nodes if not node.daemon.feed.watches]
+    watching = [node for node in nodes if node.daemon.feed.is_watcher]
+    return watching, [node for node in nodes if not node.daemon.feed.is_watcher]
 
 
 def test_only_the_watchers_wait_at_the_platform(tmp_path):
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -255,7 +255,7 @@
 def test_daemons_that_start_all_at_once_do_not_all_watch_the_store():
     async def scenario():
         async with fleet(*"abcdef", settle="1s") as one:
-            following = [d for d in one.daemons.values() if not d.feed.watches]
+            following = [d for d in one.daemons.values() if not d.feed.is_watcher]
             assert len(following) == 4
             # The list twice, the configuration, the emptied zones and the ends of servers, all
             # stale, and the own entry.
@@ -271,7 +271,7 @@
 
     async def scenario():
         async with fleet(*"abc", settle="1s") as one:
-            watching = [name for name, daemon in one.daemons.items() if daemon.feed.watches]
+            watching = [name for name, daemon in one.daemons.items() if daemon.feed.is_watcher]
             (follower,) = {*"abc"} - {*watching}
             one.store.keep_stale()
             one.store.write("config", "main", configuration(2))
@@ -290,7 +290,7 @@
 def test_a_zone_hears_of_news_though_all_that_watched_for_it_are_gone():
     async def scenario():
         async with fleet(*"abcd") as one:
-            watching = [name for name, daemon in one.daemons.items() if daemon.feed.watches]
+            watching = [name for name, daemon in one.daemons.items() if daemon.feed.is_watcher]
             one.store.fault = Fault.BUSY  # so that they stay listed
             for name in watching:
                 await one.stop(name)
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -167,7 +167,7 @@
             reader = one.daemons[third]
 
             async def watches():
-                return reader.feed.watches and one.store.waiting["config"] >= 2 * WATCHERS
+                return reader.feed.is_watcher and one.store.waiting["config"] >= 2 * WATCHERS
 
             await eventually(watches)
             await change_arrives(one, 3, prefix="/other/", more=LONG)
