--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -23,8 +23,8 @@
 from wheatslipd.controllers.view import View
 from wheatslipd.controllers.zones import ZoneController
 from wheatslipd.entry.wiring import build_entry
-from wheatslipd.feed.feed import Feed, Member, Surroundings
-from wheatslipd.feed.proof import proof_of
+from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
+from wheatslipd.feed.verifier import create_verifier
 from wheatslipd.gate.serverside import build_server_side
 from wheatslipd.http.server import Server
 from wheatslipd.registration.ownserver import ListedPorts, OwnServer
@@ -88,9 +88,9 @@
 
         # Configuration, zone drains and the list of instances, which all parts below read.
         self.feed = Feed(
-            Member(settings.name, settings.zone, settings.feed),
-            Surroundings(store, tls, rng, unix),
-            proof_of(settings),
+            LocalDaemon(settings.name, settings.zone, settings.feed),
+            FeedDependencies(store, tls, rng, unix),
+            create_verifier(settings),
             self.bus,
         )
         # A request's way: the entry of one daemon, then the server side of another or this one.
@@ -199,7 +199,7 @@
     async def _listen(self) -> None:
         """Listen for requests, other daemons and heartbeats. Raises OSError."""
         settings = self.settings
-        self.view.expected_until = self._shared.monotonic() + START_SECONDS
+        self.view.startup_deadline = self._shared.monotonic() + START_SECONDS
         await self.entry_server.listen(settings.address, settings.entry_port)
         await self.peer_server.listen(settings.address, settings.peer_port)
         await self.feed.relay.listen(settings.address, settings.control_port)
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -21,7 +21,7 @@
 from wheatslip.distribution.relaytree import WATCHERS, relay_order
 from wheatslip.store.instances import Instance
 from wheatslipd.feed.codec import StructCodec
-from wheatslipd.feed.relay import METHOD, follow_parent
+from wheatslipd.feed.relay import FOLLOW_METHOD, follow_parent
 from wheatslipd.tls import PeerTls
 
 from standins.cluster import HOST, eventually
@@ -167,7 +167,7 @@
             reader = one.daemons[third]
 
             async def watches():
-                return reader.feed.watches and one.store.waiting["config"] >= 2 * WATCHERS
+                return reader.feed.is_watcher and one.store.waiting["config"] >= 2 * WATCHERS
 
             await eventually(watches)
             await change_arrives(one, 3, prefix="/other/", more=LONG)
@@ -185,7 +185,7 @@
 
     def __mapping__(self):
         stream = grpclib.const.Cardinality.UNARY_STREAM
-        return {METHOD: grpclib.const.Handler(self._follow, stream, Cursor, Chunk)}
+        return {FOLLOW_METHOD: grpclib.const.Handler(self._follow, stream, Cursor, Chunk)}
 
     async def _follow(self, stream):
         await stream.recv_message()
--- a/test/test_silent_watch.py
+++ b/test/test_silent_watch.py
@@ -16,9 +16,9 @@
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.store.objects import Listing, StoredObject, Unavailable
 from wheatslipd.controllers.bus import Bus
-from wheatslipd.feed.feed import Feed, Member, Surroundings
-from wheatslipd.feed.feedpace import FeedPace
-from wheatslipd.feed.proof import TrustedPlatform
+from wheatslipd.feed.feed import Feed, FeedDependencies, LocalDaemon
+from wheatslipd.feed.feedsettings import FeedSettings
+from wheatslipd.feed.verifier import TrustedPlatformVerifier
 from wheatslipd.tls import PeerTls
 
 from standins.cluster import eventually
@@ -91,14 +91,14 @@
 
 
 def feed_on(store):
-    pace = FeedPace(watch=WATCH, watch_check=1.0, list_watch=WATCH)
-    around = Surroundings(store, PeerTls(), Random(1), time.time)
-    return Feed(Member("a", "one", pace), around, TrustedPlatform(), Bus())
+    pace = FeedSettings(watch=WATCH, watch_check=1.0, list_watch=WATCH)
+    around = FeedDependencies(store, PeerTls(), Random(1), time.time)
+    return Feed(LocalDaemon("a", "one", pace), around, TrustedPlatformVerifier(), Bus())
 
 
 async def in_force(feed, version):
     async def taken():
-        return feed.intake.version == version
+        return feed.cache_writer.version == version
 
     await eventually(taken)
 
