--- a/packages/wheatslipd/wheatslipd/http/__init__.py
+++ b/packages/wheatslipd/wheatslipd/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 as the request path needs it, on asyncio protocols and the httptools parser."""
+"""HTTP/1.1 client and server on asyncio protocols and the httptools parser."""
--- a/packages/wheatslipd/wheatslipd/http/body.py
+++ b/packages/wheatslipd/wheatslipd/http/body.py
@@ -1,82 +1,81 @@
-"""A message body as a stream of chunks with back-pressure on the socket it comes from."""
+"""A message body as a stream of chunks with back-pressure on its socket."""
 
 import asyncio
 from collections import deque
 from collections.abc import AsyncIterator, Callable
 
-# Bytes held before the socket is no longer read; each request under way may hold as many.
-HIGH_WATER = 64 * 1024
+HIGH_WATER_BYTES = 64 * 1024  # buffered per body; above it the socket is not read
 
 
 class BodyBroken(Exception):
-    """The connection ended before the body did."""
+    """The connection ended before the body was complete."""
 
 
 class Body:
-    """Chunks that the connection feeds and one reader takes."""
+    """A queue of chunks, fed by the connection and read by one reader."""
 
     def __init__(self, pause: Callable[[], None], resume: Callable[[], None]):
         self._pause = pause
         self._resume = resume
         self._chunks: deque[bytes] = deque()
-        self.held = 0  # bytes that have come and are not read
+        self.held = 0  # bytes received and not yet read
         self._paused = False
-        self._broken = False
+        self._is_truncated = False
         self._waiter: asyncio.Future[None] | None = None
         self.complete = False
 
     @property
     def exhausted(self) -> bool:
-        """Whether all of the body has come and been read."""
+        """Whether the whole body has been received and read."""
         return self.complete and not self._chunks
 
     @property
-    def has_more_now(self) -> bool:
+    def is_readable(self) -> bool:
         """Whether `read` returns without waiting."""
         return bool(self._chunks) or self.complete
 
     def feed(self, chunk: bytes) -> None:
-        """Add a chunk; stops the socket when too much is held."""
+        """Add a chunk; pauses the socket above `HIGH_WATER_BYTES`."""
         self._chunks.append(chunk)
         self.held += len(chunk)
-        if self.held > HIGH_WATER and not self._paused:
+        if self.held > HIGH_WATER_BYTES and not self._paused:
             self._paused = True
             self._pause()
         self._wake()
 
     def finish(self) -> None:
-        """The body is whole."""
+        """Mark the body as complete."""
         self.complete = True
         self._wake()
 
-    def break_off(self) -> None:
-        """The connection ended; a reader meets `BodyBroken` unless the body is whole."""
-        self._broken = True
+    def mark_truncated(self) -> None:
+        """Record that the connection ended; readers of an incomplete body get `BodyBroken`."""
+        self._is_truncated = True
         self._wake()
 
     async def read(self) -> bytes:
-        """The next chunk; empty at the end."""
+        """Return the next chunk, or empty bytes at the end of the body."""
         while not self._chunks:
             if self.complete:
                 return b""
-            if self._broken:
+            if self._is_truncated:
                 raise BodyBroken
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         chunk = self._chunks.popleft()
         self.held -= len(chunk)
-        if self.held <= HIGH_WATER // 2:
-            self._read_socket_again()
+        if self.held <= HIGH_WATER_BYTES // 2:
+            self._resume_socket()
         return chunk
 
     def drop(self) -> None:
-        """Forget what is not read, so that the socket is read again."""
+        """Discard unread chunks and resume reading the socket."""
         self._chunks.clear()
         self.held = 0
-        self._read_socket_again()
+        self._resume_socket()
 
     async def read_up_to(self, limit: int) -> bytes:
-        """Bytes until the end of the body or until `limit` or more have come."""
+        """Read until the end of the body or until at least `limit` bytes are read."""
         parts = []
         size = 0
         while size < limit:
@@ -88,15 +87,15 @@
         return b"".join(parts)
 
     async def hold_up_to(self, limit: int) -> None:
-        """Wait, without reading, until the body is whole or `limit` bytes of it have come."""
+        """Wait, without reading, until the body is complete or `limit` bytes are buffered."""
         while not self.complete and self.held < limit:
-            if self._broken:
+            if self._is_truncated:
                 raise BodyBroken
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
     def peek(self, limit: int) -> bytes:
-        """The first bytes that have come and are not read, at most `limit`; they stay."""
+        """Return up to `limit` unread bytes without consuming them."""
         parts = []
         size = 0
         for chunk in self._chunks:
@@ -107,11 +106,11 @@
         return b"".join(parts)[:limit]
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The rest of the body."""
+        """Iterate over the rest of the body."""
         while chunk := await self.read():
             yield chunk
 
-    def _read_socket_again(self) -> None:
+    def _resume_socket(self) -> None:
         if self._paused:
             self._paused = False
             self._resume()
--- a/packages/wheatslipd/wheatslipd/http/identity.py
+++ b/packages/wheatslipd/wheatslipd/http/identity.py
@@ -1,4 +1,4 @@
-"""What identifies a request whose caller sends it again, perhaps to another daemon."""
+"""Identifies a request that its caller repeats, possibly to another daemon."""
 
 from wheatslip.fingerprint import request_fingerprint
 
@@ -6,7 +6,7 @@
 
 
 def host_of(head: RequestHead) -> str | None:
-    """The host without its port; None unless there is exactly one."""
+    """Return the host header without its port; None unless there is exactly one."""
     values = [value for name, value in head.headers if name == b"host"]
     if len(values) != 1 or not values[0].strip():
         return None
@@ -17,10 +17,10 @@
 
 
 def fingerprint_of(head: RequestHead, workspace: str, service: str, body: bytes) -> str:
-    """The request's fingerprint; `workspace` is empty where requests come by routes.
+    """Return the fingerprint of a request; `workspace` is empty with the routes interface.
 
-    There the host selects the route. A workspace's request names the daemon that it is sent to
-    as its host, which differs from one repeat to the next.
+    With routes, the host selects the route and is part of the fingerprint. The host of a
+    workspace request is the daemon's address, which differs between repeats.
     """
     owner = workspace or (host_of(head) or "").lower()
     return request_fingerprint(owner, service, head.method, head.target, body)
--- a/packages/wheatslipd/wheatslipd/http/pool.py
+++ b/packages/wheatslipd/wheatslipd/http/pool.py
@@ -1,4 +1,4 @@
-"""The kept connections to one address."""
+"""Pool of client connections to one address."""
 
 import asyncio
 import ssl
@@ -6,46 +6,48 @@
 
 from wheatslipd.http.client import ClientConnection
 
-# Seconds; shorter than a server's, so that we rarely write to a connection that it closes.
-IDLE_SECONDS = 30.0
+# Shorter than the server's idle timeout, so that a request rarely meets a closing connection.
+MAX_IDLE_SECONDS = 30.0
 
 
 class ConnectionPool:
-    """Connections to one address, the one used last first."""
+    """Connections to one address, reused in last-in, first-out order."""
 
     def __init__(self, host: str, port: int, limit: int, tls: ssl.SSLContext | None = None):
-        """`limit` bounds the connections open at one time."""
+        """`limit` bounds the number of open connections."""
         self._host = host
         self._port = port
         self.limit = limit
         self._tls = tls
         self._idle: deque[ClientConnection] = deque()
-        self._open = 0
-        self.opened = 0
+        self._open_count = 0
+        self.opened_count = 0
 
     async def take(
-        self, connect_timeout: float, longest_rest: float = IDLE_SECONDS
+        self, connect_timeout: float, max_idle_seconds: float = MAX_IDLE_SECONDS
     ) -> ClientConnection | None:
-        """A connection ready for a request; None if none can be had, so nothing was sent.
+        """Return a connection ready for a request; None at the limit or if connecting fails.
 
-        One that was idle for `longest_rest` seconds or more is closed instead of used.
+        Connections that were idle for `max_idle_seconds` or longer are closed, not reused.
         """
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
             connection.rested = now - connection.idle_since
-            if connection.reusable and connection.rested < min(longest_rest, IDLE_SECONDS):
+            if connection.reusable and connection.rested < min(
+                max_idle_seconds, MAX_IDLE_SECONDS
+            ):
                 return connection
             self._discard(connection)
-        if self._open >= self.limit:
+        if self._open_count >= self.limit:
             return None
         return await self._connect(connect_timeout)
 
     def give_back(self, connection: ClientConnection) -> None:
-        """Keep the connection if it may be used again, close it otherwise.
+        """Keep the connection if it is reusable, close it otherwise.
 
-        Where one timed out the idle ones most likely would, and each would cost a request: they
-        are closed with it.
+        If it timed out, the idle connections are closed too: they would most likely time out as
+        well, each with a request in flight.
         """
         if not connection.reusable:
             self._discard(connection)
@@ -61,7 +63,7 @@
             self._discard(self._idle.pop())
 
     async def _connect(self, timeout: float) -> ClientConnection | None:
-        self._open += 1
+        self._open_count += 1
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout):
@@ -69,14 +71,14 @@
                     ClientConnection, self._host, self._port, ssl=self._tls
                 )
         except (OSError, TimeoutError):
-            self._open -= 1
+            self._open_count -= 1
             return None
         except BaseException:
-            self._open -= 1
+            self._open_count -= 1
             raise
-        self.opened += 1
+        self.opened_count += 1
         return connection
 
     def _discard(self, connection: ClientConnection) -> None:
-        self._open -= 1
+        self._open_count -= 1
         connection.abort()
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from wheatslipd.http.body import HIGH_WATER, Body, BodyBroken
+from wheatslipd.http.body import HIGH_WATER_BYTES, Body, BodyBroken
 from wheatslipd.http.messages import RequestHead, ResponseHead
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
@@ -304,7 +304,7 @@
             response = await connection.response()
             assert await response.body.read_up_to(100) == b"answer %d" % number
             pool.give_back(connection)
-        assert pool.opened == 1
+        assert pool.opened_count == 1
         pool.close()
         server.close()
 
@@ -326,7 +326,7 @@
         longer.feed(b"0123456789")
         await longer.hold_up_to(8)
         broken = Body(lambda: None, lambda: None)
-        broken.break_off()
+        broken.mark_truncated()
         with pytest.raises(BodyBroken):
             await broken.hold_up_to(8)
 
@@ -345,7 +345,7 @@
 
     async def scenario(port):
         reader, writer = await asyncio.open_connection(HOST, port)
-        size = HIGH_WATER + 1
+        size = HIGH_WATER_BYTES + 1
         writer.write(b"POST /one HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % size + b"x" * size)
         assert (await reader.readuntil(b"/one")).startswith(b"HTTP/1.1 200")
         writer.write(b"GET /two HTTP/1.1\r\n\r\n")
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -7,7 +7,7 @@
 from wheatslip.resting import MEMORY, RestLimit
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.http.body import Body
-from wheatslipd.http.client import PROBE_SECONDS
+from wheatslipd.http.client import KEEPALIVE_SECONDS
 from wheatslipd.http.messages import RequestHead, ResponseHead
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
@@ -95,7 +95,7 @@
         await server.listen(HOST, 0)
         for error, later, unacknowledged in (
             (errno.ETIMEDOUT, 0.0, True),
-            (errno.ETIMEDOUT, PROBE_SECONDS, False),
+            (errno.ETIMEDOUT, KEEPALIVE_SECONDS, False),
             (errno.ECONNRESET, 0.0, False),
         ):
             pool = ConnectionPool(HOST, server.port, 10)
