--- a/packages/wheatslipd/wheatslipd/telemetry/__init__.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see of a daemon: logs, metrics, traces and pages."""
+"""Logs, metrics, traces and the operators' pages of a daemon."""
--- a/packages/wheatslipd/wheatslipd/telemetry/metrics.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/metrics.py
@@ -1,8 +1,9 @@
-"""Metrics of the daemon, as aioprometheus collectors. docs/OPERATIONS.md lists them."""
+"""Metrics of the daemon as aioprometheus collectors; docs/OPERATIONS.md lists them."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.formats import text
 
+# Upper bounds of the histogram buckets, in seconds.
 LATENCY_BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0]
 
 
@@ -24,56 +25,58 @@
         )
         self.request_seconds = Histogram(
             "wheatslip_request_seconds",
-            "Time from a request's head to the end of its answer, by service",
+            "Time from receiving a request's head to the end of its response, by service",
             const_labels=labels,
             registry=self.registry,
             buckets=LATENCY_BUCKETS,
         )
         self.sends = counter(
             "wheatslip_sends_total",
-            "Tries sent to upstreams, by service and try (first, retry)",
+            "Attempts sent to upstreams, by service and try (first, retry)",
         )
         self.admissions = counter(
             "wheatslip_admissions_total", "Requests at the local gate, by outcome and reason"
         )
         self.server_ends = counter(
             "wheatslip_server_ends_total",
-            "Ends of the local backend server while it ran requests",
+            "Times the local backend server ended while it ran requests",
         )
         self.held_requests = gauge(
-            "wheatslip_held_requests", "Requests refused because servers end when they run them"
+            "wheatslip_held_requests",
+            "Requests refused because servers ended while running them",
         )
         self.suspects = gauge(
             "wheatslip_suspects",
-            "Requests under which servers have ended, the held ones included",
+            "Requests that servers ran when they ended, including the held ones",
         )
         self.in_flight = gauge("wheatslip_in_flight", "Requests at the local backend server")
         self.queued = gauge("wheatslip_queued", "Requests waiting at the local gate")
         self.limit = gauge("wheatslip_limit", "Concurrency limit of the local backend server")
         self.probes = counter(
-            "wheatslip_probes_total", "Active measurements of the local backend server"
+            "wheatslip_probes_total", "Health probes of the local backend server"
         )
         self.probe_seconds = counter(
-            "wheatslip_probe_seconds_total", "Time the local backend server spent on them"
+            "wheatslip_probe_seconds_total",
+            "Time the local backend server spent on health probes",
         )
         self.platform_calls = counter("wheatslip_platform_calls_total", "Calls to the platform")
         self.relay_bytes = counter(
             "wheatslip_relay_bytes_total", "Bytes of control messages sent to followers"
         )
-        self.bundle_version = gauge("wheatslip_bundle_version", "Bundle version in force here")
+        self.bundle_version = gauge("wheatslip_bundle_version", "Bundle version in force")
         self.zones_drained = gauge(
-            "wheatslip_zones_drained", "Availability zones that operators have emptied"
+            "wheatslip_zones_drained", "Availability zones that operators have drained"
         )
         self.cold = gauge(
-            "wheatslip_cold", "Whether the local backend server is held to its cold rate"
+            "wheatslip_cold", "Whether the local backend server is limited to its cold rate"
         )
         self.head_age = gauge(
             "wheatslip_head_age_seconds",
-            "Since the platform last confirmed the version in force",
+            "Time since the platform last confirmed the version in force",
         )
-        self.key_records = gauge("wheatslip_key_records", "Request keys remembered here")
+        self.key_records = gauge("wheatslip_key_records", "Request keys recorded")
         self.connections = gauge("wheatslip_connections", "Open connections, by port")
 
     def render(self) -> bytes:
-        """All collectors in Prometheus' text format."""
+        """Render all collectors in the Prometheus text format."""
         return text.TextFormatter().marshall(self.registry)
--- a/packages/wheatslipd/wheatslipd/telemetry/outcometext.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/outcometext.py
@@ -1,10 +1,10 @@
-"""Outcomes as text, for logs, metrics and spans."""
+"""Text form of outcomes for logs, metrics and spans."""
 
 from wheatslip.outcome import NotRun, Outcome, Unknown
 
 
 def describe(outcome: Outcome) -> str:
-    """`answered`, `not-run:REASON` or `unknown:REASON`."""
+    """Return `answered`, `not-run:REASON` or `unknown:REASON`."""
     match outcome:
         case NotRun(reason):
             return f"not-run:{reason.value}"
--- a/packages/wheatslipd/wheatslipd/telemetry/pages.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pages.py
@@ -1,8 +1,8 @@
-"""The operators' pages on circuits.web: health, status and metrics.
+"""The operators' pages, served by circuits.web: health, status, metrics and lift.
 
-circuits.web brings a loop of its own, so the pages run in a thread of theirs and ask the
-daemon's loop for what they show; they share no state with it. circuits.web takes a fifth of the
-processor time of a start to load, so the daemon imports this module when all else runs.
+circuits.web has its own event loop, so the pages run in a separate thread. They get their
+content by calls into the daemon's loop and share no state with it. circuits.web is slow to
+import, so the daemon imports this module after everything else has started.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 
 from wheatslipd.telemetry.pagesource import PageSource
 
-START_TIMEOUT = 10.0  # seconds until the server listens
+START_TIMEOUT_SECONDS = 10.0  # seconds until the server listens
 
 
 class _Pages(Controller):
-    """The pages, by method name."""
+    """Serves each page from the method of that name."""
 
     channel = "/"
 
@@ -29,71 +29,70 @@
         self._source = source
 
     def health(self) -> str:
-        """200 while callers may come: see `StateReport`; otherwise 503."""
-        status = self._source.ask(self._source.status)
+        """Respond 200 while the daemon accepts callers (see `StateReport`), 503 otherwise."""
+        status = self._source.call_in_loop(self._source.status)
         self.response.status = 200 if status.ready else 503
         return "ready\n" if status.ready else "not ready\n"
 
     def status(self) -> str:
-        """The daemon's state."""
+        """Respond with the daemon's `Status` as JSON."""
         self.response.headers["Content-Type"] = "application/json"
-        return msgspec.json.encode(self._source.ask(self._source.status)).decode()
+        return msgspec.json.encode(self._source.call_in_loop(self._source.status)).decode()
 
     def metrics(self) -> str:
-        """Prometheus' text format."""
+        """Respond with the metrics in the Prometheus text format."""
         self.response.headers["Content-Type"] = "text/plain; version=0.0.4"
-        return self._source.ask(self._source.metrics).decode()
+        return self._source.call_in_loop(self._source.metrics).decode()
 
     def lift(self, fingerprint: str = "") -> str:
-        """Let a held request run again, at all daemons; by POST, as it changes something."""
+        """Let a held request run again on all daemons; POST only."""
         if self.request.method != "POST":
             self.response.status = 405
             return "only POST\n"
-        was_held = self._source.ask(lambda: self._source.lift(fingerprint))
+        was_held = self._source.call_in_loop(lambda: self._source.lift(fingerprint))
         self.response.status = 200 if was_held else 404
         return "lifted\n" if was_held else "no such request is held here\n"
 
 
-class _ReadyWatch(Component):
-    """Notes the port on which the server listens."""
+class _PortWatcher(Component):
+    """Records the port on which the server listens."""
 
     channel = "*"
 
     def __init__(self) -> None:
         super().__init__()
-        self.is_ready = ThreadEvent()
+        self.listening = ThreadEvent()
         self.port = 0
 
     @handler("ready", channel="*")
     def _on_ready(self, server: object, bind: tuple[str, int], *rest: object) -> None:
         self.port = bind[1]
-        self.is_ready.set()
+        self.listening.set()
 
 
 class PageServer:
-    """The thread with the pages."""
+    """Runs the pages in a thread."""
 
     def __init__(self, address: str, port: int, source: PageSource):
         self._server = Server((address, port), display_banner=False)
-        # The default is select, which spins once a descriptor is 1024 or above: the health
-        # page of a daemon with that many connections was not answered any more.
+        # The default poller uses select, which spins on descriptors of 1024 and above: a
+        # daemon with that many connections would not serve its health page.
         self._poller = EPoll().register(self._server)
-        self._watch = _ReadyWatch().register(self._server)
+        self._port_watcher = _PortWatcher().register(self._server)
         _Pages(source).register(self._server)
 
     async def start(self) -> int:
-        """Start the thread; returns the port."""
+        """Start the thread and return the port."""
         self._server.start()
-        await asyncio.to_thread(self._watch.is_ready.wait, START_TIMEOUT)
-        return int(self._watch.port)
+        await asyncio.to_thread(self._port_watcher.listening.wait, START_TIMEOUT_SECONDS)
+        return int(self._port_watcher.port)
 
     async def stop(self) -> None:
-        """Stop the thread."""
         await asyncio.to_thread(self._server.stop)
         self._close_poller()
 
     def _close_poller(self) -> None:
-        """circuits leaves the poller's own descriptors open."""
+        """Close the poller's descriptors, which circuits leaves open."""
         self._poller._poller.close()
         os.close(self._poller._ctrl_recv)
         os.close(self._poller._ctrl_send)
--- a/packages/wheatslipd/wheatslipd/telemetry/pagesource.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pagesource.py
@@ -1,4 +1,4 @@
-"""What the operators' pages show, asked for in the daemon's loop."""
+"""Content of the operators' pages, read in the daemon's event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,20 +9,20 @@
 
 T = TypeVar("T")
 
-ASK_TIMEOUT = 2.0  # seconds that a page waits for the daemon's loop
+CALL_TIMEOUT_SECONDS = 2.0  # for a call from the pages' thread into the daemon's loop
 
 
 class HeldRequest(msgspec.Struct, frozen=True):
-    """A request that is refused because servers ended whenever they ran it."""
+    """A request that is refused because servers ended while running it."""
 
     fingerprint: str
     service: str
-    last_end: float  # unix seconds
-    held_for: float  # seconds from now, if no other server ends
+    last_end: float  # when a server last ended while running it, in Unix seconds
+    held_for: float  # remaining seconds, if no other server ends
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What the status page shows, as JSON."""
+    """The JSON object of the status page."""
 
     name: str
     zone: str
@@ -38,30 +38,30 @@
     members: int
     platform_calls: int
     watches: bool
-    parent: str  # the daemon that is followed; empty: none
+    parent: str  # the daemon that this one follows; empty: none
     head_age: float | None  # seconds, see `Feed.head_age`
-    emptied_zones: tuple[str, ...]  # zones with a drain, as far as known here
-    cold: bool  # the backend server is cold and its starts are spaced
+    emptied_zones: tuple[str, ...]  # drained zones known to this daemon
+    cold: bool  # whether the backend server is cold and its request rate is limited
     followers: int
     relay_bytes: int
     held_requests: tuple[HeldRequest, ...]
-    suspects: int  # requests that something is held against, the held ones among them
+    suspects: int  # requests that servers ran when they ended, including the held ones
 
 
 @dataclass(slots=True)
 class PageSource:
-    """Where the pages get their content; called in the daemon's loop."""
+    """Functions that the pages call in the daemon's loop."""
 
     loop: asyncio.AbstractEventLoop
     status: Callable[[], Status]
     metrics: Callable[[], bytes]
-    # Lets a held request run again; whether it was held. Takes its fingerprint.
+    # Takes a fingerprint and lets the held request run again; returns whether it was held.
     lift: Callable[[str], bool] = lambda fingerprint: False
 
-    def ask(self, read: Callable[[], T]) -> T:
-        """Call `read` in the daemon's loop; returns its result. Raises TimeoutError."""
+    def call_in_loop(self, read: Callable[[], T]) -> T:
+        """Call `read` in the daemon's loop and return its result. Raises TimeoutError."""
 
         async def call() -> T:
             return read()
 
-        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(ASK_TIMEOUT)
+        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(CALL_TIMEOUT_SECONDS)
--- a/packages/wheatslipd/wheatslipd/telemetry/statereport.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/statereport.py
@@ -1,4 +1,4 @@
-"""What the operators' pages show, read from the daemon's parts when a page is asked for."""
+"""Builds the status and metrics pages from the daemon's current state."""
 
 from wheatslipd.feed.feed import Feed
 from wheatslipd.gate.serverside import ServerSide
@@ -9,7 +9,7 @@
 
 
 class StateReport:
-    """The status and the metrics of one daemon."""
+    """Reads the status and metrics of one daemon on request."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._feed = feed
 
     def status(self) -> Status:
-        """The state for the status page."""
+        """Return the content of the status page."""
         settings = self._settings
         view = self._view
         feed = self._feed
@@ -64,18 +64,18 @@
         now = self._shared.unix()
         return tuple(
             HeldRequest(
-                one.fingerprint,
-                one.service,
-                one.ends[-1],
-                round(quarantine.held_for(one.fingerprint, now), 1),
+                request.fingerprint,
+                request.service,
+                request.ends[-1],
+                round(quarantine.held_for(request.fingerprint, now), 1),
             )
-            for one in quarantine.held(now)
+            for request in quarantine.held(now)
         )
 
     def metrics(self) -> bytes:
-        """The content of the metrics page.
+        """Return the content of the metrics page.
 
-        Gauges are set here: setting them on each request would cost more.
+        Gauges are set here because setting them on each request would cost more.
         """
         metrics = self._shared.metrics
         admission = self._server_side.gate.admission
@@ -95,8 +95,10 @@
         return metrics.render()
 
     def _is_ready(self) -> bool:
-        """Whether callers may come. A daemon that lists itself takes callers while its backend
-        server leaves, as others serve them.
+        """Whether the daemon accepts callers.
+
+        A daemon that lists itself still accepts them while its backend server leaves and
+        forwards their requests to other backend servers.
         """
         view = self._view
         if not view.version or view.drains is None or view.stopping:
--- a/packages/wheatslipd/wheatslipd/telemetry/tracing.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/tracing.py
@@ -1,7 +1,7 @@
-"""Traces: a span for each hop, with W3C traceparent in and out.
+"""Traces: one span per hop, propagated by the W3C traceparent header.
 
-Where a trace begins it is decided whether it is sampled. A request that is not sampled costs
-one random number or the parsing of one header, and no span.
+The daemon where a trace starts decides whether it is sampled. An unsampled request costs one
+random number or the parsing of one header, and no span.
 """
 
 from dataclasses import dataclass
@@ -16,26 +16,26 @@
     from opentelemetry.sdk.trace import TracerProvider
 
 TRACEPARENT = b"traceparent"
-# The form of the header, by the W3C recommendation: its parts, and their lengths in hex digits.
-_PARTS = 4
+# Format of the header (W3C Trace Context): number of parts, and lengths in hex digits.
+_PART_COUNT = 4
 _TRACE_ID_LENGTH = 32
 _SPAN_ID_LENGTH = 16
 
 
 @dataclass(slots=True)
 class HopTrace:
-    """The trace of one request in this daemon: a span if sampled, and what to pass on."""
+    """The trace of one request in this daemon."""
 
-    span: Span | None = None
-    outgoing: bytes | None = None
+    span: Span | None = None  # None: not sampled
+    outgoing: bytes | None = None  # traceparent header to forward
 
     def set(self, key: str, value: str | int | float) -> None:
-        """Note an attribute on the span, if there is one."""
+        """Set an attribute of the span, if there is one."""
         if self.span is not None:
             self.span.set_attribute(key, value)
 
     def end(self) -> None:
-        """The hop is over."""
+        """End the span, if there is one."""
         if self.span is not None:
             self.span.end()
 
@@ -44,14 +44,14 @@
     """Starts the spans of a daemon."""
 
     def __init__(self, instance: str, sample: float, path: str, rng: Random):
-        """`path` of the file for spans; empty drops them."""
+        """`path` is the file that spans are appended to; if empty, spans are dropped."""
         self.sample = sample
         self._rng = rng
         self._instance = instance
         self._file = open(path, "a", encoding="utf-8") if path else None  # noqa: SIM115
 
     def hop(self, name: str, incoming: bytes | None, *, is_head: bool) -> HopTrace:
-        """Begin a hop. `is_head`: a request without a trace may start one here."""
+        """Start a hop; with `is_head` a request without a trace may start a new one."""
         parent = parse_traceparent(incoming) if incoming else None
         if parent is None:
             if not is_head or not self.sample or self._rng.random() >= self.sample:
@@ -62,7 +62,7 @@
         return self._start(name, parent)
 
     def close(self) -> None:
-        """Write what is left."""
+        """Export the remaining spans and close the file."""
         if "_provider" in vars(self):
             self._provider.shutdown()
         if self._file is not None:
@@ -70,8 +70,8 @@
 
     @cached_property
     def _provider(self) -> "TracerProvider":
-        """The maker of spans, loaded with the first one: a daemon that samples nothing saves
-        the memory and time that its library takes to load.
+        """The span provider, imported with the first span: a daemon that samples nothing saves
+        the import time and memory of the OpenTelemetry SDK.
         """
         from opentelemetry.sdk.resources import Resource
         from opentelemetry.sdk.trace import TracerProvider
@@ -96,9 +96,9 @@
 
 
 def parse_traceparent(value: bytes) -> SpanContext | None:
-    """The parent named by a traceparent header, None if it is malformed."""
+    """Return the parent span of a traceparent header, None if it is malformed."""
     parts = value.decode("ascii", "replace").split("-")
-    if len(parts) != _PARTS or parts[0] != "00":
+    if len(parts) != _PART_COUNT or parts[0] != "00":
         return None
     trace_id, span_id, flags = parts[1:]
     if len(trace_id) != _TRACE_ID_LENGTH or len(span_id) != _SPAN_ID_LENGTH:
@@ -113,6 +113,6 @@
 
 
 def format_traceparent(context: SpanContext) -> bytes:
-    """The header value for a span."""
+    """Return the traceparent header of a span."""
     flags = int(context.trace_flags)
     return f"00-{context.trace_id:032x}-{context.span_id:016x}-{flags:02x}".encode()
