--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -125,7 +125,7 @@
         helpers: list[asyncio.Task[None]] = []
         if self.own_server is not None:
             tasks += self.own_server.start()
-            helpers.append(loop.create_task(self.own_server.find()))
+            helpers.append(loop.create_task(self.own_server.probe_until_registered()))
         if self.settings.health_path:
             tasks.append(loop.create_task(self.server_side.measurer.run()))
         pages = await self._start_pages()
--- a/packages/wheatslipd/wheatslipd/registration/__init__.py
+++ b/packages/wheatslipd/wheatslipd/registration/__init__.py
@@ -1,1 +1,1 @@
-"""Registration of the backend server beside the daemon, and its entry in the list."""
+"""Registration of the local backend server and of its entry in the list of instances."""
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/ownserver.py
@@ -1,7 +1,7 @@
-"""The parts of a daemon whose backend server registers with it, where no platform lists it.
+"""Manages a backend server that registers with its daemon instead of with the platform.
 
-Heartbeats open or close the gate, the health endpoint is asked while the state of the server is
-unknown, and what changes is written to the list.
+Heartbeats open or close the gate. The health endpoint is probed while the state of the server
+is unknown. Changes are written to the list of instances.
 """
 
 import asyncio
@@ -26,12 +26,11 @@
 from wheatslipd.settings import Settings
 from wheatslipd.shared import Shared
 
-# Seconds that a planned stop waits for the last write of our list entry.
-PUBLISH_TIMEOUT = 0.5
+PUBLISH_TIMEOUT_SECONDS = 0.5  # for the last write of the list entry in a planned stop
 
 
 class ListedPorts(NamedTuple):
-    """The ports of this daemon that its list entry names."""
+    """The ports of this daemon that its list entry contains."""
 
     entry: int
     peer: int
@@ -39,7 +38,7 @@
 
 
 class OwnServer:
-    """Registration, recovery and list entry of the backend server beside one daemon."""
+    """Registration, recovery probes and list entry of the local backend server."""
 
     def __init__(
         self,
@@ -51,7 +50,7 @@
         decode: HeartbeatDecoder,
         ports: Callable[[], ListedPorts],
     ):
-        """`ports` are asked for when the entry is written: they are known once all listen."""
+        """`ports` is called when the entry is written, after all ports are bound."""
         gate, backend, clock = server_side.gate, server_side.backend, shared.monotonic
         self._settings = settings
         self._view = shared.view
@@ -59,8 +58,8 @@
         self._clock = clock
         self._cache = feed.cache
         self._ports = ports
-        self._server = ""  # the id of the one that registered last
-        self._slots = 0  # that the server reported, as far as they are used; 0: none yet
+        self._server = ""  # id of the server that registered last
+        self._slots = 0  # the server's reported slots times `slot_share`; 0: none reported
         self._registrar = Registrar(
             Registration(settings.pool, f"{settings.backend_address}:{settings.backend_port}"),
             backend,
@@ -68,13 +67,15 @@
             shared.bus,
             clock,
             gate.learn,
-            self._take_beat,
+            self._on_heartbeat,
             settings.health_path,
             decode,
         )
-        self._check = server_side.speed_check
-        self._check.use_path(settings.health_path)
-        self._probe = RecoveryProbe(gate, self._check, clock, settings.recovery_probe)
+        self._speed_check = server_side.speed_check
+        self._speed_check.use_path(settings.health_path)
+        self._recovery_probe = RecoveryProbe(
+            gate, self._speed_check, clock, settings.recovery_probe
+        )
         self._publisher = Publisher(store, shared.rng)
         self.remover = DeadEntryRemover(
             settings.name, store, shared.view, clock, feed.removal_rank, feed.cache.version_of
@@ -88,20 +89,20 @@
         await self.registration_server.listen(settings.address, settings.registration_port)
 
     def start(self) -> list[asyncio.Task[None]]:
-        """Start the tasks that run for as long as the daemon does."""
+        """Start the tasks that run until the daemon stops."""
         loop = asyncio.get_running_loop()
-        parts = (self._publisher, self.remover, self._probe)
+        parts = (self._publisher, self.remover, self._recovery_probe)
         return [loop.create_task(part.run()) for part in parts]
 
-    async def find(self) -> None:
-        """Ask the server for its id while that is unknown or disputed. Runs until cancelled."""
+    async def probe_until_registered(self) -> None:
+        """Probe the server's health while its id is unknown or disputed, until cancelled."""
         await self._registrar.run()
 
     def take_bounds(self, pool: Pool) -> int:
-        """Apply what a bundle says of the pool; returns the slots to use."""
+        """Apply the bundle's settings of the pool and return the number of slots to use."""
         health_path = pool.health_path or self._settings.health_path
         self._registrar.health_path = health_path
-        self._check.use_path(health_path)
+        self._speed_check.use_path(health_path)
         self._gate.admission.cold.bound(self._cold_rate(pool))
         return self._slots or pool.slots
 
@@ -113,8 +114,8 @@
             pool.cold.seconds, pool.cold.per_second, settings.cold_overage, settings.cold_slack
         )
 
-    def _take_beat(self, registered: Registered) -> None:
-        """The registered server is alive; take over when it will be warm, if it said so."""
+    def _on_heartbeat(self, registered: Registered) -> None:
+        """Apply the reported warm-up time; keep the gate open unless the server leaves."""
         now = self._clock()
         if registered.warm_at is not None:
             self._gate.admission.cold.reported(registered.warm_at - now, now)
@@ -122,15 +123,15 @@
             self._gate.server_stays()
 
     def take_registration(self, registered: Registered) -> None:
-        """Apply the slots that the server reports; a new server is asked how fast it is."""
+        """Apply the slots that the server reports; the speed of a new server is measured."""
         if registered.server != self._server:
-            self._take_new(registered)
+            self._reset_for_new_server(registered)
         self._server = registered.server
         self._slots = max(1, int(registered.slots * self._settings.slot_share))
         admission = self._gate.admission
         admission.resize(dataclasses.replace(admission.settings, slots=self._slots))
 
-    def _take_new(self, registered: Registered) -> None:
+    def _reset_for_new_server(self, registered: Registered) -> None:
         if self._settings.headers.load:
             self._gate.speed_unknown()
         cold = self._gate.admission.cold
@@ -142,7 +143,7 @@
             cold.reported(registered.warm_at - now, now)
 
     def publish(self) -> None:
-        """Let the list show this daemon as it is now."""
+        """Publish the current state of this daemon in the list of instances."""
         settings = self._settings
         ports = self._ports()
         leaves = self._view.leaving or self._view.stopping
@@ -160,18 +161,21 @@
         )
 
     def withdraw(self) -> None:
-        """Take this daemon off the list: it leaves with its server."""
+        """Remove this daemon's entry from the list because its server leaves."""
         self._publisher.withdraw()
 
     async def wait_published(self) -> None:
-        """Wait, within `PUBLISH_TIMEOUT`, until our list entry is as it should be."""
-        await self._publisher.wait_settled(PUBLISH_TIMEOUT)
+        """Wait up to `PUBLISH_TIMEOUT_SECONDS` until the list entry is up to date."""
+        await self._publisher.wait_settled(PUBLISH_TIMEOUT_SECONDS)
 
     def check_entry(
         self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
     ) -> None:
-        """Compare the list, or changes of it, with what we published."""
+        """Compare this daemon's entry in a list, or in changes to it, with the published one.
+
+        `whole` tells a list from changes; `gone` holds the names that the changes remove.
+        """
         name = self._settings.name
         listed = next((i for i in instances if i.name == name), None)
         if listed is not None or whole or name in gone:
-            self._publisher.seen(listed, self._cache.version_of(name), self._cache.listed)
+            self._publisher.on_listed(listed, self._cache.version_of(name), self._cache.listed)
--- a/packages/wheatslipd/wheatslipd/registration/publisher.py
+++ b/packages/wheatslipd/wheatslipd/registration/publisher.py
@@ -1,7 +1,7 @@
-"""The task that keeps this daemon's own entry in the platform's list of instances.
+"""The task that maintains this daemon's entry in the platform's list of instances.
 
-It writes on a change, and when the list shows that the entry is not what it should be. No other
-daemon writes this entry, but those that take it for dead remove it (`DeadEntryRemover`).
+It writes on a change, and when the list shows an entry that differs from the desired one. Other
+daemons never write this entry but remove it if they consider it dead (`DeadEntryRemover`).
 """
 
 import asyncio
@@ -16,75 +16,77 @@
 
 from wheatslipd.telemetry import logs
 
-# Longest wait in seconds before a write is tried again. Others drop a
-# daemon whose entry is missing for longer than `membership.LAPSE_GRACE`.
-RETRY_LAST = 1.0
-# Seconds that the first write waits for the list. Without the list a
-# daemon that starts again needs three calls (refused creation, read, write) instead of one.
-LIST_TIMEOUT = 0.3
+# Longest wait before a write is retried. Other daemons drop a daemon whose entry is missing for
+# longer than `membership.LAPSE_GRACE`.
+MAX_RETRY_SECONDS = 1.0
+# How long the first write waits for the list. Without the list, a restarted daemon needs three
+# calls (refused creation, read, write) instead of one.
+LIST_TIMEOUT_SECONDS = 0.3
 
 
 class Publisher:
-    """Publishes one instance."""
+    """Publishes the list entry of one instance."""
 
     def __init__(self, store: ObjectStore, rng: Random):
         self._store = store
         self._rng = rng
-        self._wanted: Instance | None = None  # what the entry should be, but its incarnation
-        self._stored: Instance | None = None  # what the platform holds, as far as is known
+        self._desired: Instance | None = None  # apart from its incarnation
+        self._stored: Instance | None = None  # the platform's entry, as last read or written
         self._version = 0  # of the stored entry; 0: there is none
-        self._incarnation = 1  # of this start: one more than that of the start before, if any
-        self._is_first = True  # nothing of this start, or of one before, was found or written
-        self._attempted: Instance | None = None  # the last write that was sent
+        self._incarnation = 1  # of this start; one more than in the entry of the previous start
+        self._is_first = True  # until an entry of this or a previous start is read or written
+        self._last_sent: Instance | None = None  # the entry in the last write
         self._changed = asyncio.Event()
-        self._settled = asyncio.Event()
-        self._listed = asyncio.Event()  # set once a list was seen
+        self._settled = asyncio.Event()  # set while the entry is up to date
+        self._list_received = asyncio.Event()
         self._is_withdrawn = False
-        self._needs_read = False  # what the platform holds may differ from `_stored`
+        self._needs_read = False  # whether the platform's entry may differ from `_stored`
 
     def publish(self, instance: Instance) -> None:
-        """Message: the entry should be this, but for its incarnation."""
-        self._wanted = instance
+        """Set the desired entry; its incarnation is ignored."""
+        self._desired = instance
         self._wake()
 
     def withdraw(self) -> None:
-        """Message: the instance leaves for good, so the entry should go."""
+        """Remove the entry because the instance leaves permanently."""
         self._is_withdrawn = True
         self._wake()
 
     async def wait_settled(self, seconds: float) -> None:
-        """Wait until the entry is as it should be, at most for so long."""
+        """Wait up to `seconds` until the entry is up to date."""
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._settled.wait()
 
-    def seen(self, listed: Instance | None, version: int = 0, at: int | None = None) -> None:
-        """Message: the list shows this entry in our name; None if it shows none.
+    def on_listed(
+        self, listed: Instance | None, version: int = 0, list_version: int | None = None
+    ) -> None:
+        """Compare the entry that a list shows for this instance (None: no entry).
 
-        `version` is that of the entry, `at` that of the list. A list from before our last write
-        is ignored, and so is one that shows a write whose answer is still on its way.
+        `version` is that of the entry, `list_version` that of the list. A list older than the
+        last write is ignored, and so is one that shows a write whose response is in flight.
         """
-        self._listed.set()
-        if listed == self._stored or (listed is not None and listed == self._attempted):
+        self._list_received.set()
+        if listed == self._stored or (listed is not None and listed == self._last_sent):
             return
-        if at is not None and at < self._version:
+        if list_version is not None and list_version < self._version:
             return
-        if listed is not None and version and self._is_first and self._attempted is None:
-            # That of the start before. If the version is wrong, the first write is refused.
-            self._take_over(listed, version)
+        if listed is not None and version and self._is_first and self._last_sent is None:
+            # The entry of the previous start. If `version` is wrong, the first write fails.
+            self._adopt(listed, version)
             return
         self._needs_read = True
         self._wake()
 
     async def run(self) -> None:
-        """Run until cancelled."""
+        """Write the entry whenever it must change, until cancelled."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(LIST_TIMEOUT):
-                await self._listed.wait()
+            async with asyncio.timeout(LIST_TIMEOUT_SECONDS):
+                await self._list_received.wait()
         while True:
             await self._changed.wait()
             self._changed.clear()
-            await self._settle()
+            await self._sync()
             if not self._changed.is_set():
                 self._settled.set()
 
@@ -92,54 +94,55 @@
         self._settled.clear()
         self._changed.set()
 
-    async def _settle(self) -> None:
-        backoff = Backoff(self._rng, last=RETRY_LAST)
-        while self._wanted is not None and not await self._step(self._wanted):
+    async def _sync(self) -> None:
+        backoff = Backoff(self._rng, last=MAX_RETRY_SECONDS)
+        while self._desired is not None and not await self._sync_once(self._desired):
             await asyncio.sleep(backoff.next())
 
-    async def _step(self, wanted: Instance) -> bool:
-        """Write the entry if need be; whether it is as it should be now."""
-        if self._needs_read and not await self._read(wanted.name):
+    async def _sync_once(self, desired: Instance) -> bool:
+        """Write the entry if necessary; returns whether it is up to date."""
+        if self._needs_read and not await self._read(desired.name):
             return False
         if self._is_withdrawn:
-            return await self._delete(wanted.name)
-        self._start_anew_after_leaving(wanted)
-        entry = msgspec.structs.replace(wanted, incarnation=self._incarnation)
+            return await self._delete(desired.name)
+        self._renew_incarnation(desired)
+        entry = msgspec.structs.replace(desired, incarnation=self._incarnation)
         if entry == self._stored:
             return True
-        self._attempted = entry
-        match await self._store.put(INSTANCE_KIND, wanted.name, entry, self._version):
+        self._last_sent = entry
+        match await self._store.put(INSTANCE_KIND, desired.name, entry, self._version):
             case Ok(stored):
                 self._version = stored.version
                 self._stored = entry
                 self._is_first = False
                 logs.info("published", name=entry.name, state=entry.state.value)
-                return self._wanted is wanted
-            case Err(Conflict(found)):
-                self._attempted = None
-                self._learn(found)
+                return self._desired is desired
+            case Err(Conflict(current)):
+                self._last_sent = None
+                self._adopt_object(current)
                 return False
-            case Err(trouble):
-                # The entry may have been written although no answer came.
+            case Err(error):
+                # The entry may have been written even if no response was received.
                 self._needs_read = True
-                logs.warning("publish-failed", detail=str(trouble), repeat_key="publish")
+                logs.warning("publish-failed", detail=str(error), repeat_key="publish")
                 return False
         raise AssertionError
 
     async def _read(self, name: str) -> bool:
         match await self._store.get(INSTANCE_KIND, name):
-            case Ok(found):
-                self._learn(found)
+            case Ok(current):
+                self._adopt_object(current)
                 self._needs_read = False
                 return True
         return False
 
-    def _start_anew_after_leaving(self, wanted: Instance) -> None:
-        """Take a new incarnation if the server is live again after its entry said that it
-        leaves: others never send anything to an incarnation again that was listed as leaving.
+    def _renew_incarnation(self, desired: Instance) -> None:
+        """Use a new incarnation if the server is live again after its entry was leaving.
+
+        Other daemons send no more requests to an incarnation once it was listed as leaving.
         """
         stored = self._stored
-        if stored is None or wanted.state is InstanceState.LEAVING:
+        if stored is None or desired.state is InstanceState.LEAVING:
             return
         if stored.state is InstanceState.LEAVING:
             self._incarnation = max(self._incarnation, stored.incarnation + 1)
@@ -149,25 +152,25 @@
             return True
         return isinstance(await self._store.delete(INSTANCE_KIND, name, self._version), Ok)
 
-    def _learn(self, found: StoredObject | None) -> None:
-        """Take over what the platform holds as this entry; None: nothing."""
-        if found is None:
-            self._take_over(None, 0)
+    def _adopt_object(self, current: StoredObject | None) -> None:
+        """Adopt the platform's stored entry; None: it has none."""
+        if current is None:
+            self._adopt(None, 0)
             return
-        match decode_instance(found.value):
+        match decode_instance(current.value):
             case Ok(stored):
-                self._take_over(stored, found.version)
-            case Err(why):
-                self._take_over(None, found.version)
-                logs.error("instance-unreadable", name=found.name, error=why)
+                self._adopt(stored, current.version)
+            case Err(reason):
+                self._adopt(None, current.version)
+                logs.error("instance-unreadable", name=current.name, error=reason)
 
-    def _take_over(self, stored: Instance | None, version: int) -> None:
-        """Go on from an entry at a version; None: there is none that can be read."""
+    def _adopt(self, stored: Instance | None, version: int) -> None:
+        """Continue from a stored entry and its version; None: no readable entry."""
         self._stored = stored
         self._version = version
         if not self._is_first or stored is None:
             return
-        # An entry that equals our last write is ours: its answer was lost.
-        if stored != self._attempted:
+        # An entry that equals the last write is from this start; the response was lost.
+        if stored != self._last_sent:
             self._incarnation = stored.incarnation + 1
         self._is_first = False
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -1,8 +1,8 @@
-"""The port on which the backend server beside this daemon registers by heartbeats.
+"""The port on which the local backend server registers by heartbeats.
 
-It is open where no platform lists the instances. Until the first heartbeat the health endpoint
-is asked, so that a daemon that was restarted need not wait for one. Each change is fired on the
-bus.
+It is used if the platform does not list the instances. Until the first heartbeat the health
+endpoint is probed, so that a restarted daemon need not wait for a heartbeat. Each change is
+fired on the bus.
 """
 
 import asyncio
@@ -22,19 +22,17 @@
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry import logs
 
-PATH = b"/heartbeats/"
+HEARTBEAT_PATH = b"/heartbeats/"
 MAX_HEARTBEAT_BYTES = 64 * 1024
-# Seconds from the begin of one question to the health endpoint to the begin of the next; and
-# until a question without an answer is given up.
-ASK_SECONDS = 0.25
-ASK_TIMEOUT = 0.25
-GOOD = 200  # HTTP status of the health endpoint
+HEALTH_INTERVAL_SECONDS = 0.25  # from the start of one health probe to the start of the next
+HEALTH_TIMEOUT_SECONDS = 0.25  # for one health probe
+HEALTHY_STATUS = 200  # HTTP status of the health endpoint
 
 HeartbeatDecoder = Callable[[bytes], Heartbeat | None]
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat | None:
-    """A heartbeat in wheatslip's own form (JSON), None if it is not one."""
+    """Decode a heartbeat in wheatslip's JSON format; None if it is malformed."""
     try:
         return msgspec.json.decode(body, type=Heartbeat)
     except msgspec.DecodeError:
@@ -42,7 +40,7 @@
 
 
 class Registrar:
-    """Takes the heartbeats of one backend server."""
+    """Handles the heartbeats of one backend server."""
 
     def __init__(
         self,
@@ -52,14 +50,14 @@
         bus: Bus,
         clock: Callable[[], float],
         on_load: Callable[[BackendLoad], None],
-        on_beat: Callable[[Registered], None],
+        on_heartbeat: Callable[[Registered], None],
         health_path: str,
         decode: HeartbeatDecoder = decode_heartbeat,
     ):
-        """`on_load` takes the load that the health endpoint reports; `on_beat` is called with
-        each heartbeat of the registered server, also of one that changes nothing.
+        """`on_load` gets the load that the health endpoint reports. `on_heartbeat` is called on
+        each heartbeat of the registered server, even if it changes nothing.
         """
-        self._on_beat = on_beat
+        self._on_heartbeat = on_heartbeat
         self._on_load = on_load
         self._registration = registration
         self._backend = backend
@@ -73,8 +71,8 @@
     async def handle(self, exchange: Exchange) -> None:
         """Answer `PUT /heartbeats/ID` and `DELETE /heartbeats/ID`."""
         head = exchange.head
-        server = head.target.removeprefix(PATH).decode("ascii", "replace")
-        if not head.target.startswith(PATH) or not server:
+        server = head.target.removeprefix(HEARTBEAT_PATH).decode("ascii", "replace")
+        if not head.target.startswith(HEARTBEAT_PATH) or not server:
             await exchange.respond(ResponseHead(404))
             return
         try:
@@ -82,64 +80,70 @@
         except BodyBroken:
             return
         if head.method == b"DELETE":
-            self._apply(self._registration.on_goodbye(server))
+            self._fire_change(self._registration.on_goodbye(server))
             await exchange.respond(ResponseHead(200))
             return
-        beat = self._decode(body) if head.method == b"PUT" else None
-        if beat is None:
+        heartbeat = self._decode(body) if head.method == b"PUT" else None
+        if heartbeat is None:
             logs.warning("heartbeat-unreadable", server=server, repeat_key=server)
             await exchange.respond(ResponseHead(400))
             return
-        self._take_heartbeat(server, beat)
+        self._apply_heartbeat(server, heartbeat)
         await exchange.respond(ResponseHead(200), b"{}")
 
     async def run(self) -> None:
-        """Ask the health endpoint for its id until a server has registered, and again while two
-        ids claim to be the server here. Runs until cancelled.
+        """Probe the health endpoint for the server's id until a server has registered.
+
+        Probes again while two servers with different ids claim to be the local one. Runs until
+        cancelled.
         """
         while True:
-            while self._is_in_question():
-                began = self._clock()
+            while self._is_unresolved():
+                started_at = self._clock()
                 if self.health_path:
-                    await self._ask()
-                if self._is_in_question():
-                    # Counted from the begin of the question: after one that timed out, because
-                    # the start held up the loop, the next follows at once. Waiting 0.25 s more
-                    # would refuse all callers for that time.
-                    await asyncio.sleep(max(0.0, began + ASK_SECONDS - self._clock()))
+                    await self._probe_health()
+                if self._is_unresolved():
+                    # The interval counts from the start of the probe. If a probe times out
+                    # because startup blocks the loop, the next one follows immediately. A
+                    # further wait would refuse all callers for that time.
+                    await asyncio.sleep(
+                        max(0.0, started_at + HEALTH_INTERVAL_SECONDS - self._clock())
+                    )
             self._disputed.clear()
             await self._disputed.wait()
 
-    def _take_heartbeat(self, server: str, beat: Heartbeat) -> None:
-        self._apply(self._registration.on_heartbeat(server, beat, self._clock()))
+    def _apply_heartbeat(self, server: str, heartbeat: Heartbeat) -> None:
+        self._fire_change(self._registration.on_heartbeat(server, heartbeat, self._clock()))
         current = self._registration.current
         if current is not None and current.server == server:
-            self._on_beat(current)
+            self._on_heartbeat(current)
         if self._registration.is_disputed:
-            logs.info("server-disputed", server=server, sequence=beat.sequence)
+            logs.info("server-disputed", server=server, sequence=heartbeat.sequence)
             self._disputed.set()
 
-    def _is_in_question(self) -> bool:
+    def _is_unresolved(self) -> bool:
         return self._registration.current is None or self._registration.is_disputed
 
-    async def _ask(self) -> None:
-        found = await ask_health(self._backend, self.health_path, ASK_TIMEOUT)
-        if found is None:
+    async def _probe_health(self) -> None:
+        answer = await ask_health(self._backend, self.health_path, HEALTH_TIMEOUT_SECONDS)
+        if answer is None:
             return
-        server = (found.get(self._names.server) or b"").decode("ascii", "replace")
-        load = decode_backend_load(found.get(self._names.load) or b"")
+        server = (answer.get(self._names.server) or b"").decode("ascii", "replace")
+        load = decode_backend_load(answer.get(self._names.load) or b"")
         if not server or (load is None and not self._registration.is_disputed):
             return
         slots = load.slots if load is not None else 0
-        well = found.status == GOOD
-        remaining = cold_remaining(found, self._names.cold)
+        is_healthy = answer.status == HEALTHY_STATUS
+        remaining = cold_remaining(answer, self._names.cold)
         warm_at = None if remaining is None else self._clock() + remaining
-        self._apply(self._registration.on_health(server, slots, well=well, warm_at=warm_at))
+        self._fire_change(
+            self._registration.on_health(server, slots, well=is_healthy, warm_at=warm_at)
+        )
         if load is not None:
             self._on_load(load)
 
-    def _apply(self, changed: bool) -> None:
-        """Log and fire what is registered now, if that has changed."""
+    def _fire_change(self, changed: bool) -> None:
+        """Log the registered server and fire it on the bus, if it changed."""
         current = self._registration.current
         if changed and current is not None:
             logs.info(
--- a/test/test_publisher.py
+++ b/test/test_publisher.py
@@ -111,7 +111,7 @@
             await leave_entry(store)
             store.calls.clear()
             async with publisher(store) as one:
-                one.seen(INSTANCE, store.rev)
+                one.on_listed(INSTANCE, store.rev)
                 one.publish(INSTANCE)
                 await settled(one)
             assert len(store.calls) == 1
@@ -128,7 +128,7 @@
             async with publisher(store) as one:
                 one.publish(INSTANCE)
                 await asyncio.sleep(0.05)
-                one.seen(INSTANCE, store.rev, store.rev)
+                one.on_listed(INSTANCE, store.rev, store.rev)
                 await settled(one)
             assert len(store.calls) == 1
             assert entry(store)["incarnation"] == 2
@@ -142,7 +142,7 @@
             one.publish(INSTANCE)
             await settled(one)
             calls = len(store.calls)
-            one.seen(None, at=store.rev - 1)
+            one.on_listed(None, list_version=store.rev - 1)
             await settled(one)
             assert len(store.calls) == calls
 
@@ -156,7 +156,7 @@
 
             async def put_while_the_watch_tells(*args):
                 answer = await put(*args)
-                one.seen(args[2], store.rev, store.rev)
+                one.on_listed(args[2], store.rev, store.rev)
                 return answer
 
             one._store.put = put_while_the_watch_tells
@@ -172,7 +172,7 @@
         async with standing_store() as store:
             await leave_entry(store)
             async with publisher(store) as one:
-                one.seen(INSTANCE, store.rev + 1)
+                one.on_listed(INSTANCE, store.rev + 1)
                 one.publish(INSTANCE)
                 await settled(one)
             assert entry(store)["incarnation"] == 2
@@ -186,7 +186,7 @@
             one.publish(INSTANCE)
             await settled(one)
             del store.objects[KEY]
-            one.seen(None)
+            one.on_listed(None)
             await settled(one)
             assert entry(store) is not None
 
--- a/test/test_publisher_model.py
+++ b/test/test_publisher_model.py
@@ -99,7 +99,7 @@
     @rule(mode=st.sampled_from(MODES))
     def step(self, mode):
         self.store.mode = mode
-        finish(self.publisher._step(self.wanted))
+        finish(self.publisher._sync_once(self.wanted))
 
     @rule()
     def a_late_write_arrives(self):
@@ -114,7 +114,7 @@
     @rule()
     def the_list_is_seen(self):
         version = self.store.version if self.store.entry is not None else 0
-        self.publisher.seen(self.store.entry, version)
+        self.publisher.on_listed(self.store.entry, version)
 
     @rule()
     def start_anew(self):
@@ -130,7 +130,7 @@
         self.store.mode = "well"
         self.the_list_is_seen()
         for _ in range(MANY_STEPS):
-            if finish(self.publisher._step(self.wanted)):
+            if finish(self.publisher._sync_once(self.wanted)):
                 break
         entry = self.store.entry
         assert entry is not None
--- a/test/test_registrar.py
+++ b/test/test_registrar.py
@@ -7,7 +7,11 @@
 from wheatslip.store.registration import Registration
 from wheatslipd.controllers.bus import Bus
 from wheatslipd.registration import registrar
-from wheatslipd.registration.registrar import ASK_SECONDS, ASK_TIMEOUT, Registrar
+from wheatslipd.registration.registrar import (
+    HEALTH_INTERVAL_SECONDS,
+    HEALTH_TIMEOUT_SECONDS,
+    Registrar,
+)
 from wheatslipd.settings import HeaderNames
 
 QUESTIONS = 3
@@ -15,7 +19,12 @@
 
 @pytest.mark.parametrize(
     ("took", "pause"),
-    [(0.0, ASK_SECONDS), (0.1, ASK_SECONDS - 0.1), (ASK_TIMEOUT, 0.0), (0.4, 0.0)],
+    [
+        (0.0, HEALTH_INTERVAL_SECONDS),
+        (0.1, HEALTH_INTERVAL_SECONDS - 0.1),
+        (HEALTH_TIMEOUT_SECONDS, 0.0),
+        (0.4, 0.0),
+    ],
 )
 def test_questions_begin_a_pause_apart_and_at_once_after_one_that_took_longer(
     monkeypatch, took, pause
@@ -45,7 +54,7 @@
         bus=Bus(),
         clock=lambda: now[0],
         on_load=lambda load: None,
-        on_beat=lambda registered: None,
+        on_heartbeat=lambda registered: None,
         health_path="/health",
     )
     with pytest.raises(asyncio.CancelledError):
