--- a/packages/wheatslipd/wheatslipd/chain.py
+++ b/packages/wheatslipd/wheatslipd/chain.py
@@ -1,7 +1,7 @@
-"""The filter chain: a request passes typed filters in the order of one list.
+"""The filter chain, which passes a request through a list of filters in order.
 
-Each filter either returns an outcome or proceeds to the rest. An embedder extends the chain
-by putting a filter of its own into the list.
+Each filter either returns an outcome or calls the rest of the chain. An embedder extends the
+chain by adding its own filter to the list.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True, eq=False)
 class EntryRequest:
-    """A caller's request on its way through the entry's filters.
+    """A caller's request while it passes through the entry's filters.
 
-    The first two fields are set at the start, the others by the filter named beside each.
+    The first two fields are set on creation, the others by the filter named in the comment.
     """
 
     exchange: Exchange
     arrived: float  # seconds, monotonic
     trace: HopTrace = field(default_factory=HopTrace)  # TraceFilter
-    configuration: Configuration | None = None  # ReadyFilter: what is in force for this request
-    workspace: Workspace | None = None  # IdentifyFilter; None by routes
+    configuration: Configuration | None = None  # ReadyFilter; in force for this request
+    workspace: Workspace | None = None  # IdentifyFilter; None with the routes interface
     service: Service | None = None  # AuthoriseFilter or RouteFilter
     call: Call | None = None  # ClassifyFilter or RouteFilter
 
@@ -37,23 +37,23 @@
 
 
 class Filter(Protocol):
-    """One step of the chain."""
+    """One filter of the chain."""
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
-        """Handle the request, or pass it on with `proceed`."""
+        """Handle the request, or call `proceed` to pass it to the rest of the chain."""
         ...
 
 
 def build_chain(filters: Sequence[Filter], last: Proceed) -> Proceed:
-    """One callable that runs `filters` in order and ends in `last`."""
+    """Return a callable that runs `filters` in order and then `last`."""
     proceed = last
-    for step in reversed(filters):
-        proceed = _bind(step, proceed)
+    for filter_ in reversed(filters):
+        proceed = _bind_filter(filter_, proceed)
     return proceed
 
 
-def _bind(step: Filter, proceed: Proceed) -> Proceed:
+def _bind_filter(filter_: Filter, proceed: Proceed) -> Proceed:
     async def run(request: EntryRequest) -> Outcome:
-        return await step(request, proceed)
+        return await filter_(request, proceed)
 
     return run
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: composes entry, server side, feed and controllers, and runs them."""
+"""The daemon: builds and runs the entry, server side, feed and controllers."""
 
 import asyncio
 import dataclasses
@@ -41,18 +41,17 @@
 if TYPE_CHECKING:
     from wheatslipd.telemetry.pages import PageServer
 
-# Seconds from listening in which a first configuration and list are expected: 0.05 at the
-# median, 0.07 at most of 78 daemons on 0.43 of a core that lost their power together.
-START_SECONDS = 0.2
-# Settings that SIGHUP takes over; the head of default.ini names them.
-RELOADED = ("chooser", "log_level", "stop_grace", "trace_sample")
+# How long after listening starts requests wait for the first configuration and list.
+EXPECTED_START_SECONDS = 0.2
+# Settings that SIGHUP reloads; the head of default.ini lists them too.
+RELOADABLE_SETTINGS = ("chooser", "log_level", "stop_grace", "trace_sample")
 
 
 @dataclass(frozen=True, slots=True)
 class Adapters:
-    """What an embedder replaces of wheatslip's own way to the outside.
+    """Replacements by which an embedder connects the daemon to another platform.
 
-    Without a `store` the daemon uses the object API that the settings name.
+    Without a `store` the daemon uses the object API at the address in the settings.
     """
 
     store: ObjectStore | None = None
@@ -60,7 +59,7 @@
 
 
 class Daemon:
-    """One wheatslipd."""
+    """One wheatslip daemon with all its components."""
 
     def __init__(
         self,
@@ -70,7 +69,7 @@
         unix: Callable[[], float] = time.time,
         adapters: Adapters | None = None,
     ):
-        """Build everything; nothing runs before `run`."""
+        """Build all components; `run` starts them."""
         adapters = adapters or Adapters()
         store = adapters.store or _object_client(settings.platform, rng)
         tls = peer_tls(settings.peer_tls)
@@ -86,22 +85,24 @@
         self._chooser = Chooser(settings.zone, rng, settings.chooser)
         self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
 
-        # Configuration, zone drains and the list of instances, which all parts below read.
+        # Configuration, zone drains and the list of instances, read by all components below.
         self.feed = Feed(
             Member(settings.name, settings.zone, settings.feed),
             Surroundings(store, tls, rng, unix),
             proof_of(settings),
             self.bus,
         )
-        # A request's way: the entry of one daemon, then the server side of another or this one.
+        # A request passes the entry of one daemon, then the server side of the same or another.
         cache = self.feed.cache
         entry = build_entry(settings, shared, self._chooser, self._tracer, cache)
         self.entry_server = Server(entry.handle)
         self.server_side = build_server_side(settings, shared, self._tracer, owners, cache)
         self.peer_server = Server(self.server_side.peer_port.handle, tls.server)
-        # The backend server's registration, where the platform does not list instances.
-        self.own_server = self._own_server(store, adapters) if settings.lists_itself else None
-        # What happens is fired on the bus, and these act on it.
+        # The backend server registers here only if the platform does not list instances.
+        self.local_backend = (
+            self._build_local_backend(store, adapters) if settings.lists_itself else None
+        )
+        # The controllers handle the events fired on the bus.
         self.quarantine = QuarantineController(
             shared.quarantine, settings.name, settings.pool, self.feed.report_end, rng, unix
         )
@@ -110,7 +111,7 @@
             BundleController(self.view, metrics),
             MembershipController(settings, shared, owners, tls),
             ZoneController(self.view, settings.zone, self.server_side.gate, metrics, unix),
-            Lifecycle(settings, self.view, self.server_side, self.feed, self.own_server),
+            Lifecycle(settings, self.view, self.server_side, self.feed, self.local_backend),
         )
         self._report = StateReport(
             settings, shared, self.entry_server, self.peer_server, self.server_side, self.feed
@@ -122,63 +123,63 @@
         await self._listen()
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(self.feed.run())]
-        helpers: list[asyncio.Task[None]] = []
-        if self.own_server is not None:
-            tasks += self.own_server.start()
-            helpers.append(loop.create_task(self.own_server.probe_until_registered()))
+        probe_tasks: list[asyncio.Task[None]] = []
+        if self.local_backend is not None:
+            tasks += self.local_backend.start()
+            probe_tasks.append(loop.create_task(self.local_backend.probe_until_registered()))
         if self.settings.health_path:
             tasks.append(loop.create_task(self.server_side.measurer.run()))
         pages = await self._start_pages()
-        stopped = loop.create_task(self._stopping.wait())
+        stop_requested = loop.create_task(self._stopping.wait())
         assert self.bus.failed is not None
-        ending: list[asyncio.Future[Any]] = [stopped, self.bus.failed, *tasks]
-        await asyncio.wait(ending, return_when=asyncio.FIRST_COMPLETED)
-        was_asked = self._stopping.is_set()
-        if was_asked:
+        stop_conditions: list[asyncio.Future[Any]] = [stop_requested, self.bus.failed, *tasks]
+        await asyncio.wait(stop_conditions, return_when=asyncio.FIRST_COMPLETED)
+        was_requested = self._stopping.is_set()
+        if was_requested:
             await self._finish_in_flight()
-        for task in (stopped, *tasks, *helpers):
+        for task in (stop_requested, *tasks, *probe_tasks):
             task.cancel()
-        await asyncio.gather(stopped, *tasks, *helpers, return_exceptions=True)
+        await asyncio.gather(stop_requested, *tasks, *probe_tasks, return_exceptions=True)
         await self.feed.relay.stop()
         await pages.stop()
         self._tracer.close()
-        logs.info("stopped", asked=was_asked)
-        return 0 if was_asked else 1
+        logs.info("stopped", asked=was_requested)
+        return 0 if was_requested else 1
 
     def stop(self) -> None:
-        """Begin a planned stop: callers are asked to leave, what is in flight is finished."""
+        """Begin a planned stop: ask callers to leave and finish requests in flight."""
         self.view.stopping = True
         self.feed.relay.leave()
         if not self.settings.stop_listening_after:
-            self._close()
+            self._refuse_callers()
         self._stopping.set()
 
-    def _close(self) -> None:
-        """Refuse callers and new work from now on."""
+    def _refuse_callers(self) -> None:
+        """Refuse callers and new requests from now on."""
         self.view.closed = True
         self.bus.fire(leaving("asked to stop"))
 
     def reload(self, settings: Settings) -> None:
-        """Take over the settings that may change while running; log the others that differ."""
-        fixed = [
+        """Apply the settings that may change at run time; log the others that differ."""
+        not_reloadable = [
             field.name
             for field in dataclasses.fields(Settings)
-            if field.name not in RELOADED
+            if field.name not in RELOADABLE_SETTINGS
             and getattr(settings, field.name) != getattr(self.settings, field.name)
         ]
-        if fixed:
-            logs.warning("settings-need-restart", names=",".join(fixed))
-        kept = {name: getattr(settings, name) for name in RELOADED}
-        self.settings = dataclasses.replace(self.settings, **kept)
+        if not_reloadable:
+            logs.warning("settings-need-restart", names=",".join(not_reloadable))
+        reloaded = {name: getattr(settings, name) for name in RELOADABLE_SETTINGS}
+        self.settings = dataclasses.replace(self.settings, **reloaded)
         self._chooser.settings = settings.chooser
         self._tracer.sample = settings.trace_sample
         logs.info("settings-reloaded")
 
     def status(self) -> Status:
-        """The state for the status page."""
+        """Return the content of the status page."""
         return self._report.status()
 
-    def _own_server(self, store: ObjectStore, adapters: Adapters) -> OwnServer:
+    def _build_local_backend(self, store: ObjectStore, adapters: Adapters) -> OwnServer:
         return OwnServer(
             self.settings,
             self._shared,
@@ -199,18 +200,18 @@
     async def _listen(self) -> None:
         """Listen for requests, other daemons and heartbeats. Raises OSError."""
         settings = self.settings
-        self.view.expected_until = self._shared.monotonic() + START_SECONDS
+        self.view.expected_until = self._shared.monotonic() + EXPECTED_START_SECONDS
         await self.entry_server.listen(settings.address, settings.entry_port)
         await self.peer_server.listen(settings.address, settings.peer_port)
         await self.feed.relay.listen(settings.address, settings.control_port)
-        if self.own_server is not None:
-            await self.own_server.listen()
+        if self.local_backend is not None:
+            await self.local_backend.listen()
 
     async def _start_pages(self) -> "PageServer":
-        """Start the operators' pages, when requests can come already."""
+        """Start the operators' pages after the request ports listen."""
         settings = self.settings
-        # Let the tasks send their first calls to the platform and the backend server, which are
-        # answered while this loads. Not in a thread: 2 of 1000 starts then ended with SIGILL.
+        # Let the tasks send their first calls to the platform and the backend server before the
+        # slow import. The import must not run in a thread: some starts then end with SIGILL.
         await asyncio.sleep(0)
         from wheatslipd.telemetry.pages import PageServer
 
@@ -233,29 +234,29 @@
         return pages
 
     async def _finish_in_flight(self) -> None:
-        """Let what is in flight finish, within the grace of the settings."""
+        """Finish requests in flight within `stop_grace` and update the list entry."""
         grace = self.settings.stop_grace
-        if self.own_server is not None and self.view.leaving:
-            # The backend server leaves and this daemon with it: no one may find it any more.
-            self.own_server.withdraw()
-        elif self.own_server is not None:
-            self.own_server.publish()
+        if self.local_backend is not None and self.view.leaving:
+            # The daemon leaves with its backend server, so no one may find it in the list.
+            self.local_backend.withdraw()
+        elif self.local_backend is not None:
+            self.local_backend.publish()
         if self.settings.stop_listening_after:
             await asyncio.sleep(self.settings.stop_listening_after)
             grace -= self.settings.stop_listening_after
-            self._close()
-        if self.own_server is not None:
-            await self.own_server.wait_published()
-        finished = await asyncio.gather(
+            self._refuse_callers()
+        if self.local_backend is not None:
+            await self.local_backend.wait_published()
+        results = await asyncio.gather(
             self.entry_server.stop(grace), self.peer_server.stop(grace)
         )
-        if not all(finished):
+        if not all(results):
             logs.error("stop-cut-requests", grace=grace)
         self.server_side.backend.close()
 
 
 def _object_client(address: str, rng: Random) -> ObjectStore:
-    # Imported when it is needed: a daemon on another store starts without it.
+    # A daemon with another store does not need this import.
     from wheatslip.store.objectclient import ObjectClient
 
     return ObjectClient(address, rng)
--- a/packages/wheatslipd/wheatslipd/main.py
+++ b/packages/wheatslipd/wheatslipd/main.py
@@ -1,4 +1,4 @@
-"""The command `wheatslipd`: checks its settings and runs one daemon."""
+"""The `wheatslipd` command: checks the settings and runs one daemon."""
 
 import sys
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
     name="wheatslipd",
     description=(
         "Runs one wheatslip daemon beside a backend server. "
-        "Exit codes: 0 stopped as asked, 1 failed, 2 bad settings or usage."
+        "Exit codes: 0 stopped on request, 1 failed, 2 invalid settings or usage."
     ),
 )
 @dataclass
@@ -29,19 +29,19 @@
         Path | None, cappa.Arg(short="-s", long=True, help="The settings file (INI).")
     ] = None
     check_settings: Annotated[
-        bool, cappa.Arg(long=True, help="Check the settings file and stop.")
+        bool, cappa.Arg(long=True, help="Check the settings file and exit.")
     ] = False
     print_defaults: Annotated[
-        bool, cappa.Arg(long=True, help="Print the commented default settings and stop.")
+        bool, cappa.Arg(long=True, help="Print the commented default settings and exit.")
     ] = False
 
     def __call__(self) -> int:
-        """Carry out the command; returns the exit code."""
+        """Run the command; returns the exit code."""
         if self.print_defaults:
             print(default_text(), end="")
             return 0
         if self.settings is None:
-            print("wheatslipd: --settings FILE is needed", file=sys.stderr)
+            print("wheatslipd: --settings FILE is required", file=sys.stderr)
             return EXIT_BAD_SETTINGS
         match load_settings(self.settings):
             case Err(problems):
--- a/packages/wheatslipd/wheatslipd/run.py
+++ b/packages/wheatslipd/wheatslipd/run.py
@@ -1,6 +1,6 @@
-"""Runs one daemon in this process: its loop, its signals, its settings when they change.
+"""Runs one daemon in this process: event loop, signals and reloading of settings.
 
-The command line is read in `main`, as an embedder starts a daemon without one.
+The command line is parsed in `main`, because an embedder starts a daemon without one.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 from wheatslipd.settings import Settings, load_settings
 from wheatslipd.telemetry import logs
 
-# Exit codes of the process, as docs/OPERATIONS.md has them; 0 is a planned stop.
+# Exit codes of the process, documented in docs/OPERATIONS.md; 0 is a planned stop.
 EXIT_FAILED = 1
 EXIT_BAD_SETTINGS = 2
-# The garbage collector's thresholds: new objects before the youngest generation is collected,
-# and collections of a generation before the next one is.
-COLLECT_AFTER = (20_000, 20, 100)
+# New objects before the youngest generation is collected, and collections of each generation
+# before the next older one is collected.
+GC_THRESHOLDS = (20_000, 20, 100)
 
 
 def run_daemon(
@@ -33,10 +33,10 @@
     log: logs.KeyValueDestination,
     make_adapters: Callable[[Random], Adapters] = lambda rng: Adapters(),
 ) -> int:
-    """Run a daemon on the loop that the settings name; returns the exit code.
+    """Run a daemon on the event loop chosen in the settings; returns the exit code.
 
-    `path` is the settings file, read again on SIGHUP. `make_adapters` is called with the loop
-    running, and with the daemon's seeded generator.
+    `path` is the settings file, which SIGHUP reloads. `make_adapters` is called while the loop
+    runs, with the daemon's seeded random generator.
     """
     seed = time.time_ns()
     logs.info("starting", version=__version__, seed=seed)
@@ -48,15 +48,16 @@
         rng = Random(seed)
         daemon = Daemon(settings, rng, adapters=make_adapters(rng))
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, daemon.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, daemon.stop)
         loop.add_signal_handler(signal.SIGHUP, reload_settings, path, daemon, log)
-        _spare_collector()
+        _tune_garbage_collection()
         return await daemon.run()
 
     if settings.loop == "asyncio":
         return asyncio.run(main())
-    # libuv may use io_uring, which instances forbid; it reads this when its loop is made.
+    # libuv may use io_uring, which instances forbid. It reads this variable when its loop is
+    # created.
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
@@ -64,7 +65,7 @@
 
 
 def reload_settings(path: Path, daemon: Daemon, log: logs.KeyValueDestination) -> None:
-    """Read the settings again; a file with problems changes nothing."""
+    """Reload the settings; a file with problems changes nothing."""
     match load_settings(path):
         case Ok(settings):
             logs.set_level(log, settings.log_level)
@@ -74,25 +75,26 @@
                 logs.error("settings-refused", problem=str(problem))
 
 
-def _spare_collector() -> None:
-    """Exempt what was loaded at the start from garbage collection, and collect less often: a
-    full collection stops all requests for tens of milliseconds.
+def _tune_garbage_collection() -> None:
+    """Exempt the objects created at startup from garbage collection and collect less often.
+
+    A full collection blocks all requests for tens of milliseconds.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 def uses_io_uring() -> bool:
-    """Whether this process holds an io_uring, which instances forbid."""
+    """Whether this process has an open io_uring, which instances forbid."""
     folder = Path("/proc/self/fd")
     if not folder.exists():
         return False
-    return any("io_uring" in _target(link) for link in folder.iterdir())
+    return any("io_uring" in _read_link(link) for link in folder.iterdir())
 
 
-def _target(link: Path) -> str:
+def _read_link(link: Path) -> str:
     try:
         return os.readlink(link)
-    except OSError:  # it was closed in between
+    except OSError:  # closed since the directory was listed
         return ""
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the daemon: INI layered over the commented defaults, read into typed objects.
+"""Settings of the daemon: an INI file layered over default.ini, parsed into typed objects.
 
-default.ini has the defaults. Those named here apply where a file leaves a value empty; a test
-holds them to default.ini.
+The defaults in this module apply to keys that a file leaves empty. A test checks that they
+equal those in default.ini.
 """
 
 import ipaddress
@@ -29,7 +29,7 @@
 
 
 class LogLevel(IntEnum):
-    """How grave an event must be to be logged."""
+    """Severity of a logged event."""
 
     DEBUG = 10
     INFO = 20
@@ -38,10 +38,10 @@
 
 
 MAX_ANSWER_HOLD = 16 * 1024 * 1024  # bytes
-NO_CHECKS = 1.0  # the price from which on no request is worth a question
-PLAIN_TEXT_WORDS = ("no", "yes", "trusted-network")
+NO_CHECKS = 1.0  # check-price from which speed checks are disabled
+PLAIN_TEXT_CHOICES = ("no", "yes", "trusted-network")
 LOG_LEVELS = {level.name.lower(): level for level in LogLevel}
-_Word = TypeVar("_Word", bound=StrEnum)
+_Choice = TypeVar("_Choice", bound=StrEnum)
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,24 +54,24 @@
 
 
 class Interface(StrEnum):
-    """What callers of the entry speak."""
+    """The protocol that callers of the entry use."""
 
-    WORKSPACE = "workspace"  # a credential and the name of a service
-    ROUTES = "routes"  # any HTTP request; its host and path tell the service
+    WORKSPACE = "workspace"  # requests with a credential and the name of a service
+    ROUTES = "routes"  # plain HTTP requests; their host and path select the service
 
 
 class ConfigurationSource(StrEnum):
-    """Whom a daemon believes about the configuration."""
+    """Which configuration a daemon accepts."""
 
-    SIGNED = "signed"  # bundles that operators have signed
-    TRUSTED = "trusted"  # whatever the platform holds
+    SIGNED = "signed"  # only bundles that operators have signed
+    TRUSTED = "trusted"  # any configuration that the platform stores
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Lower-case names of the headers that callers and backend servers speak; see default.ini.
+    """Lower-case names of the headers that callers and backend servers use; see default.ini.
 
-    An empty name: nothing of the kind is read or sent.
+    A header with an empty name is neither read nor sent.
     """
 
     deadline: bytes = b""
@@ -85,13 +85,13 @@
 
     @property
     def set_by_us(self) -> frozenset[bytes]:
-        """Those that a caller's own value must never get through for."""
+        """Headers that only the daemon sets; a caller's value must never be forwarded."""
         return frozenset({self.deadline, self.caller, self.instance} - {b""})
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one daemon. Durations in seconds; port 0 takes a free one."""
+    """All settings of one daemon. Durations are in seconds; port 0 picks a free port."""
 
     name: str
     zone: str
@@ -132,8 +132,8 @@
 
     @property
     def lists_itself(self) -> bool:
-        """Whether the backend server registers here and this daemon writes its own list entry;
-        otherwise the platform lists both.
+        """Whether the backend server registers with this daemon and the daemon writes its own
+        entry in the list of instances; otherwise the platform lists both.
         """
         return self.registration_port is not None
 
@@ -142,15 +142,15 @@
 
 
 def default_text() -> str:
-    """The commented default file."""
-    # importlib.resources would take 30 ms of processor time to load.
+    """Return the text of default.ini."""
+    # importlib.resources is slow to import.
     text = get_data("wheatslipd", "default.ini")
     assert text is not None
     return text.decode()
 
 
 def load_settings(path: Path) -> Result[Settings, list[Problem]]:
-    """Read and check a settings file; the error lists every problem."""
+    """Read and check a settings file; the error contains every problem."""
     try:
         text = path.read_text()
     except OSError as error:
@@ -159,7 +159,7 @@
 
 
 def parse_settings(text: str, source: str) -> Result[Settings, list[Problem]]:
-    """Check an INI text into settings."""
+    """Parse and check an INI text; `source` names it in problems."""
     problems = Problems(source)
     sections = layered_sections(text, default_text(), problems)
     settings = _read(sections, problems)
@@ -282,8 +282,8 @@
     return FleetBudget(share * part, reserve * part, window)
 
 
-def _choices(words: type[_Word]) -> dict[str, _Word]:
-    return {word.value: word for word in words}
+def _choices(enum: type[_Choice]) -> dict[str, _Choice]:
+    return {member.value: member for member in enum}
 
 
 def _ip(section: Section, key: str) -> str:
@@ -292,7 +292,7 @@
 
 def _peer_tls(section: Section, address: str, problems: Problems) -> TlsFiles | None:
     names = [section.text(key) for key in ("certificate", "key", "authority")]
-    plain_text = section.choice("plain-text", "no", {w: w for w in PLAIN_TEXT_WORDS})
+    plain_text = section.choice("plain-text", "no", {w: w for w in PLAIN_TEXT_CHOICES})
     if plain_text == "trusted-network":
         return None
     if plain_text == "yes":
--- a/packages/wheatslipd/wheatslipd/shared.py
+++ b/packages/wheatslipd/wheatslipd/shared.py
@@ -1,4 +1,4 @@
-"""What most parts of one daemon share."""
+"""State shared by the components of one daemon."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,10 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Shared:
-    """The present state, the events, the metrics, the generator, what is held against requests,
-    and the clocks of a daemon.
+    """State, events, metrics, random generator, quarantine and clocks of one daemon.
 
-    `rng` is seeded by whoever starts the daemon. Both clocks return seconds.
+    The caller that starts the daemon seeds `rng`. Both clocks return seconds.
     """
 
     view: View
@@ -29,5 +28,5 @@
     unix: Callable[[], float]
 
     def hint_newer_version(self, version: int, address: str) -> None:
-        """The daemon at `address` (an IP number) has this newer version of the bundle."""
+        """Report that the daemon at the IP address `address` has a newer bundle `version`."""
         self.bus.fire(newer_version_seen(version, address))
--- a/packages/wheatslipd/wheatslipd/tls.py
+++ b/packages/wheatslipd/wheatslipd/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between daemons: both ends show a certificate of the same authority."""
+"""Mutual TLS between daemons: both ends present a certificate of the same authority."""
 
 import ssl
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerTls:
-    """The two contexts of a daemon; both None for plain text on loopback."""
+    """Server and client contexts of a daemon; both are None for plain text."""
 
     server: ssl.SSLContext | None = None
     client: ssl.SSLContext | None = None
 
 
 def peer_tls(files: TlsFiles | None) -> PeerTls:
-    """The contexts for a daemon's files; raises OSError (ssl.SSLError) if they are unusable."""
+    """Load the contexts from PEM files; raises OSError (ssl.SSLError) if they are unusable."""
     if files is None:
         return PeerTls()
     return PeerTls(
@@ -27,7 +27,7 @@
 def _context(purpose: ssl.Purpose, files: TlsFiles) -> ssl.SSLContext:
     context = ssl.create_default_context(purpose, cafile=str(files.authority))
     context.load_cert_chain(files.certificate, files.key)
-    # Daemons are reached by IP numbers that change; the authority signs for daemons only.
+    # Daemons are addressed by changing IP addresses, and the authority signs only daemons.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.minimum_version = ssl.TLSVersion.TLSv1_3
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -177,7 +177,7 @@
                 "cold_remaining_s": backend.cold_remaining,
             },
         }
-        port = self.daemons[name].own_server.registration_server.port
+        port = self.daemons[name].local_backend.registration_server.port
         url = f"http://{HOST}:{port}/heartbeats/{server or backend.server_id}"
         async with self.session.put(url, json=body) as answer:
             return answer.status
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -140,7 +140,7 @@
             )
             for second in range(DEAD_AFTER_FAILURES):
                 dead.upstream.on_unreachable(float(second), Random(1))
-            remover = daemon.own_server.remover
+            remover = daemon.local_backend.remover
             remover._rank = lambda zone: 0
             remover._clock = lambda: DEAD_AFTER - 1
             await remover.remove_dead()
@@ -171,7 +171,7 @@
                     for second in range(DEAD_AFTER_FAILURES):
                         if peer.instance.name == "d":
                             peer.upstream.on_unreachable(float(second), Random(1))
-            removers = [daemon.own_server.remover for daemon in one.daemons.values()]
+            removers = [daemon.local_backend.remover for daemon in one.daemons.values()]
             one.store.fault = Fault.BUSY  # so that the entry stays
             one.store.calls.clear()
             for remover in removers:
