--- a/packages/wheatslipd/wheatslipd/http/body.py
+++ b/packages/wheatslipd/wheatslipd/http/body.py
@@ -49,7 +49,7 @@
         self._wake()
 
     def mark_truncated(self) -> None:
-        """Record that the connection ended; readers of an incomplete body get `BodyBroken`."""
+        """Record that the connection ended; reading an incomplete body then fails."""
         self._is_truncated = True
         self._wake()
 
