--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -31,7 +31,7 @@
 from wheatslipd.controllers.view import Peer, View
 from wheatslipd.entry.answers import RETRY_AFTER_MS
 from wheatslipd.entry.sendguard import SendGuard
-from wheatslipd.http.body import BodyBroken
+from wheatslipd.http.body import BodyTruncated
 from wheatslipd.http.client import ClientConnection, Response
 from wheatslipd.http.messages import RequestHead, ResponseHead
 from wheatslipd.settings import HeaderNames, LogLevel
@@ -139,7 +139,7 @@
             await request.exchange.send_continue()
         try:
             replay = await body.read_up_to(REPLAY_LIMIT)
-        except BodyBroken:
+        except BodyTruncated:
             return None
         assert request.configuration is not None
         pool = request.configuration.services[call.service].pool
@@ -243,7 +243,7 @@
         try:
             await self._send_request(sending, chosen, connection)
             response = await connection.response()
-        except BodyBroken:
+        except BodyTruncated:
             return Unknown(Reason.CANCELLED)
         except ConnectionError:
             peer.upstream.on_failure(self._clock(), self._rng)
@@ -259,7 +259,7 @@
             return REPLACED
         try:
             held = await response.body.read_up_to(self._settings.answer_hold)
-        except BodyBroken:
+        except BodyTruncated:
             # Nothing of it has gone out yet, so another try may still answer.
             return Unknown(Reason.CONNECTION_LOST)
         # From here on the answer streams; its deadline was for the head.
@@ -355,7 +355,7 @@
         try:
             await request.exchange.write(held)
             await request.exchange.relay(response.body)
-        except BodyBroken:
+        except BodyTruncated:
             # The caller sees a broken connection, never a shortened answer that looks whole.
             return Unknown(Reason.CONNECTION_LOST)
         return Answered(head.status)
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -8,7 +8,7 @@
 from wheatslip.resting import RestLimit
 from wheatslip.retryafter import NO_CONNECTION
 
-from wheatslipd.http.body import Body, BodyBroken
+from wheatslipd.http.body import Body, BodyTruncated
 from wheatslipd.http.client import ClientConnection, Response
 from wheatslipd.http.messages import RequestHead
 from wheatslipd.http.pool import ConnectionPool
@@ -65,7 +65,7 @@
             self._resting.on_reset(connection.rested, now)
             self._pool.give_back(connection)
             return Unknown(Reason.CONNECTION_LOST)
-        except BodyBroken:
+        except BodyTruncated:
             self._pool.give_back(connection)
             return Unknown(Reason.CONNECTION_LOST)
         except BaseException:
--- a/packages/wheatslipd/wheatslipd/gate/health.py
+++ b/packages/wheatslipd/wheatslipd/gate/health.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wheatslipd.gate.backend import Backend, BackendAnswer
-from wheatslipd.http.body import Body, BodyBroken
+from wheatslipd.http.body import Body, BodyTruncated
 from wheatslipd.http.messages import MILLISECONDS, RequestHead, ResponseHead
 
 MAX_BODY_BYTES = 64 * 1024  # of the answer; what comes beyond is not read
@@ -23,7 +23,7 @@
                 await answer.response.body.read_up_to(MAX_BODY_BYTES)
             finally:
                 backend.release(answer)
-    except (TimeoutError, BodyBroken):
+    except (TimeoutError, BodyTruncated):
         return None
     return answer.response.head
 
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -36,7 +36,7 @@
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.gate.serverend import ServerEnds
 from wheatslipd.gate.suspects import SuspectGuard
-from wheatslipd.http.body import BodyBroken
+from wheatslipd.http.body import BodyTruncated
 from wheatslipd.http.exchange import Exchange
 from wheatslipd.http.identity import fingerprint_of
 from wheatslipd.http.messages import Headers, RequestHead, ResponseHead
@@ -145,7 +145,7 @@
             try:
                 # The body is waited for before the request takes a slot.
                 await exchange.body.hold_up_to(BODY_HOLD)
-            except BodyBroken:
+            except BodyTruncated:
                 return Unknown(Reason.CANCELLED)
         passage = _Passage(exchange, hop, call, trace, _fingerprint(exchange, hop))
         refusal = await self._check_entry(hop, exchange)
@@ -306,7 +306,7 @@
         passage.exchange.start(ResponseHead(response.head.status, headers))
         try:
             await passage.exchange.relay(response.body, kept.add if kept is not None else None)
-        except BodyBroken:
+        except BodyTruncated:
             return Unknown(Reason.CONNECTION_LOST)
         if kept is not None:
             kept.status = response.head.status
--- a/packages/wheatslipd/wheatslipd/http/body.py
+++ b/packages/wheatslipd/wheatslipd/http/body.py
@@ -7,7 +7,7 @@
 HIGH_WATER_BYTES = 64 * 1024  # buffered per body; above it the socket is not read
 
 
-class BodyBroken(Exception):
+class BodyTruncated(Exception):
     """The connection ended before the body was complete."""
 
 
@@ -59,7 +59,7 @@
             if self.complete:
                 return b""
             if self._is_truncated:
-                raise BodyBroken
+                raise BodyTruncated
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         chunk = self._chunks.popleft()
@@ -90,7 +90,7 @@
         """Wait, without reading, until the body is complete or `limit` bytes are buffered."""
         while not self.complete and self.held < limit:
             if self._is_truncated:
-                raise BodyBroken
+                raise BodyTruncated
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
--- a/packages/wheatslipd/wheatslipd/http/exchange.py
+++ b/packages/wheatslipd/wheatslipd/http/exchange.py
@@ -81,7 +81,7 @@
         self.finished = True
 
     async def relay(self, body: Body, on_chunk: Callable[[bytes], None] | None = None) -> None:
-        """Stream a body to its end as it is received; raises `BodyBroken` if that fails."""
+        """Stream a body to its end as it is received; raises `BodyTruncated` if that fails."""
         while True:
             if not body.is_readable:
                 await self.flush()
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -16,7 +16,7 @@
 from wheatslipd.controllers.events import backend_registered
 from wheatslipd.gate.backend import Backend
 from wheatslipd.gate.health import ask_health, cold_remaining
-from wheatslipd.http.body import BodyBroken
+from wheatslipd.http.body import BodyTruncated
 from wheatslipd.http.exchange import Exchange
 from wheatslipd.http.messages import ResponseHead
 from wheatslipd.settings import HeaderNames
@@ -77,7 +77,7 @@
             return
         try:
             body = await exchange.body.read_up_to(MAX_HEARTBEAT_BYTES)
-        except BodyBroken:
+        except BodyTruncated:
             return
         if head.method == b"DELETE":
             self._fire_change(self._registration.on_goodbye(server))
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from wheatslipd.http.body import HIGH_WATER_BYTES, Body, BodyBroken
+from wheatslipd.http.body import HIGH_WATER_BYTES, Body, BodyTruncated
 from wheatslipd.http.messages import RequestHead, ResponseHead
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
@@ -213,7 +213,7 @@
             writer.close()
 
         server = await asyncio.start_server(serve, HOST, 0)
-        with pytest.raises(BodyBroken):
+        with pytest.raises(BodyTruncated):
             await _fetch(ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4))
         server.close()
 
@@ -327,7 +327,7 @@
         await longer.hold_up_to(8)
         broken = Body(lambda: None, lambda: None)
         broken.mark_truncated()
-        with pytest.raises(BodyBroken):
+        with pytest.raises(BodyTruncated):
             await broken.hold_up_to(8)
 
     run(scenario)
