--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -144,7 +144,7 @@
         if not exchange.expects_continue:
             try:
                 # The body is waited for before the request takes a slot.
-                await exchange.body.hold_up_to(BODY_HOLD)
+                await exchange.body.buffer_up_to(BODY_HOLD)
             except BodyTruncated:
                 return Unknown(Reason.CANCELLED)
         passage = _Passage(exchange, hop, call, trace, _fingerprint(exchange, hop))
--- a/packages/wheatslipd/wheatslipd/http/body.py
+++ b/packages/wheatslipd/wheatslipd/http/body.py
@@ -86,7 +86,7 @@
             size += len(chunk)
         return b"".join(parts)
 
-    async def hold_up_to(self, limit: int) -> None:
+    async def buffer_up_to(self, limit: int) -> None:
         """Wait, without reading, until the body is complete or `limit` bytes are buffered."""
         while not self.complete and self.held < limit:
             if self._is_truncated:
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -314,7 +314,7 @@
 def test_a_body_is_waited_for_without_being_read():
     async def scenario():
         body = Body(lambda: None, lambda: None)
-        waiting = asyncio.create_task(body.hold_up_to(8))
+        waiting = asyncio.create_task(body.buffer_up_to(8))
         await asyncio.sleep(0)
         body.feed(b"abc")
         await asyncio.sleep(0)
@@ -324,11 +324,11 @@
         assert await body.read_up_to(8) == b"abc"
         longer = Body(lambda: None, lambda: None)
         longer.feed(b"0123456789")
-        await longer.hold_up_to(8)
+        await longer.buffer_up_to(8)
         broken = Body(lambda: None, lambda: None)
         broken.mark_truncated()
         with pytest.raises(BodyTruncated):
-            await broken.hold_up_to(8)
+            await broken.buffer_up_to(8)
 
     run(scenario)
 
@@ -340,7 +340,7 @@
     """
 
     async def answer_unread(exchange):
-        await exchange.body.hold_up_to(1 << 20)
+        await exchange.body.buffer_up_to(1 << 20)
         await exchange.respond(ResponseHead(200), exchange.head.target)
 
     async def scenario(port):
