--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -110,7 +110,7 @@
         self, connection: ClientConnection, head: RequestHead, body: Body
     ) -> None:
         if body.complete:
-            whole = await body.read_up_to(body.held + 1)
+            whole = await body.read_up_to(body.buffered_bytes + 1)
             if whole or head.method not in NO_LENGTH:
                 head.headers.append((b"content-length", b"%d" % len(whole)))
             await connection.start_with_body(head, whole)
--- a/packages/wheatslipd/wheatslipd/http/body.py
+++ b/packages/wheatslipd/wheatslipd/http/body.py
@@ -18,7 +18,7 @@
         self._pause = pause
         self._resume = resume
         self._chunks: deque[bytes] = deque()
-        self.held = 0  # bytes received and not yet read
+        self.buffered_bytes = 0  # bytes received and not yet read
         self._paused = False
         self._is_truncated = False
         self._waiter: asyncio.Future[None] | None = None
@@ -37,8 +37,8 @@
     def feed(self, chunk: bytes) -> None:
         """Add a chunk; pauses the socket above `HIGH_WATER_BYTES`."""
         self._chunks.append(chunk)
-        self.held += len(chunk)
-        if self.held > HIGH_WATER_BYTES and not self._paused:
+        self.buffered_bytes += len(chunk)
+        if self.buffered_bytes > HIGH_WATER_BYTES and not self._paused:
             self._paused = True
             self._pause()
         self._wake()
@@ -63,15 +63,15 @@
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         chunk = self._chunks.popleft()
-        self.held -= len(chunk)
-        if self.held <= HIGH_WATER_BYTES // 2:
+        self.buffered_bytes -= len(chunk)
+        if self.buffered_bytes <= HIGH_WATER_BYTES // 2:
             self._resume_socket()
         return chunk
 
     def drop(self) -> None:
         """Discard unread chunks and resume reading the socket."""
         self._chunks.clear()
-        self.held = 0
+        self.buffered_bytes = 0
         self._resume_socket()
 
     async def read_up_to(self, limit: int) -> bytes:
@@ -88,7 +88,7 @@
 
     async def buffer_up_to(self, limit: int) -> None:
         """Wait, without reading, until the body is complete or `limit` bytes are buffered."""
-        while not self.complete and self.held < limit:
+        while not self.complete and self.buffered_bytes < limit:
             if self._is_truncated:
                 raise BodyTruncated
             self._waiter = asyncio.get_running_loop().create_future()
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -222,7 +222,7 @@
 
 def test_a_large_body_is_not_held_in_memory():
     total = 20 << 20
-    held = []
+    buffered_bytes = []
 
     async def stream(exchange):
         exchange.start(ResponseHead(200))
@@ -236,11 +236,11 @@
         response = await connection.response()
         size = 0
         async for chunk in response.body.chunks():
-            held.append(response.body.held)
+            buffered_bytes.append(response.body.buffered_bytes)
             size += len(chunk)
             await asyncio.sleep(0)
         assert size == total
-        assert max(held) < 2 << 20
+        assert max(buffered_bytes) < 2 << 20
 
     with_server(scenario, stream)
 
