--- a/bench/path.py
+++ b/bench/path.py
@@ -81,7 +81,7 @@
 async def _call(
     route: Route, pool: ConnectionPool, histogram: HdrHistogram, due: float
 ) -> None:
-    connection = await pool.take(1.0)
+    connection = await pool.acquire(1.0)
     if connection is None:
         route.failed += 1
         return
@@ -94,7 +94,7 @@
     except ConnectionError:
         route.failed += 1
     finally:
-        pool.give_back(connection)
+        pool.release(connection)
     histogram.record_value(max(1, int((time.perf_counter() - due) * MICROSECONDS)))
 
 
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -217,14 +217,14 @@
         upstream = peer.upstream
         upstream.on_sent()
         try:
-            connection = await peer.connections.take(self._connect_timeout(sending.call))
+            connection = await peer.connections.acquire(self._connect_timeout(sending.call))
             if connection is None:
                 upstream.on_unreachable(self._clock(), self._rng)
                 return NO_PEER_CONNECTION
             try:
                 return await self._exchange(sending, chosen, peer, connection)
             finally:
-                peer.connections.give_back(connection)
+                peer.connections.release(connection)
         finally:
             upstream.on_done()
 
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -52,7 +52,7 @@
         """
         now = asyncio.get_running_loop().time()
         timeout = max(self._connect_timeout, connect_timeout)
-        connection = await self._pool.take(timeout, self._resting.trusted(now))
+        connection = await self._pool.acquire(timeout, self._resting.trusted(now))
         if connection is None:
             return NO_CONNECTION
         on_connected()
@@ -63,13 +63,13 @@
             return BackendAnswer(await connection.response(), connection)
         except ConnectionError:
             self._resting.on_reset(connection.rested, now)
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             return Unknown(Reason.CONNECTION_LOST)
         except BodyTruncated:
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             return Unknown(Reason.CONNECTION_LOST)
         except BaseException:
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             raise
 
     async def refuses_connections(self) -> bool:
@@ -100,7 +100,7 @@
 
     def release(self, answer: BackendAnswer) -> None:
         """Keep the answer's connection if it was read to the end, close it otherwise."""
-        self._pool.give_back(answer.connection)
+        self._pool.release(answer.connection)
 
     def close(self) -> None:
         """Close the idle connections."""
--- a/packages/wheatslipd/wheatslipd/http/pool.py
+++ b/packages/wheatslipd/wheatslipd/http/pool.py
@@ -23,7 +23,7 @@
         self._open_count = 0
         self.opened_count = 0
 
-    async def take(
+    async def acquire(
         self, connect_timeout: float, max_idle_seconds: float = MAX_IDLE_SECONDS
     ) -> ClientConnection | None:
         """Return a connection ready for a request; None at the limit or if connecting fails.
@@ -43,7 +43,7 @@
             return None
         return await self._connect(connect_timeout)
 
-    def give_back(self, connection: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         """Keep the connection if it is reusable, close it otherwise.
 
         If it timed out, the idle connections are closed too: they would most likely time out as
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -114,12 +114,12 @@
         writer.write(data + b"\r\n\r\n")
         writer.close()
         pool = ConnectionPool(HOST, port, 4)
-        connection = await pool.take(1.0)
+        connection = await pool.acquire(1.0)
         target = b"/%d" % number
         await connection.start_with_body(RequestHead(b"GET", target, []), b"")
         response = await connection.response()
         assert await response.body.read_up_to(100) == target + b" "
-        pool.give_back(connection)
+        pool.release(connection)
         pool.close()
 
     with_server(scenario)
@@ -141,13 +141,13 @@
 
 
 async def _fetch(pool, method=b"GET"):
-    connection = await pool.take(1.0)
+    connection = await pool.acquire(1.0)
     try:
         await connection.start_with_body(RequestHead(method, b"/", []), b"")
         response = await connection.response()
         return await response.body.read_up_to(1 << 20), connection
     finally:
-        pool.give_back(connection)
+        pool.release(connection)
 
 
 @pytest.mark.parametrize(
@@ -231,7 +231,7 @@
         await exchange.finish()
 
     async def scenario(port):
-        connection = await ConnectionPool(HOST, port, 1).take(1.0)
+        connection = await ConnectionPool(HOST, port, 1).acquire(1.0)
         await connection.start_with_body(RequestHead(b"GET", b"/", []), b"")
         response = await connection.response()
         size = 0
@@ -267,14 +267,14 @@
     async def scenario():
         server, port = await raw_server(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         pool = ConnectionPool(HOST, port, 4)
-        connection = await pool.take(1.0)
+        connection = await pool.acquire(1.0)
         await connection.start(RequestHead(b"POST", b"/"))
         response = await connection.response()
         assert response.head.status == 503
         await connection.write(b"rest")
         await connection.finish()
         assert not connection.reusable
-        pool.give_back(connection)
+        pool.release(connection)
         server.close()
 
     run(scenario)
@@ -298,12 +298,12 @@
         server = await asyncio.start_server(serve, HOST, 0)
         pool = ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4)
         for number in (1, 2, 3):
-            connection = await pool.take(1.0)
+            connection = await pool.acquire(1.0)
             connection.expect_echo(b"request-id", b"%d" % number)
             await connection.start_with_body(RequestHead(b"GET", b"/"), b"")
             response = await connection.response()
             assert await response.body.read_up_to(100) == b"answer %d" % number
-            pool.give_back(connection)
+            pool.release(connection)
         assert pool.opened_count == 1
         pool.close()
         server.close()
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -382,10 +382,10 @@
         ours, theirs = (peer_tls(files) for files in authorities)
         server = Server(echo, ours.server)
         await server.listen(HOST, 0)
-        connection = await ConnectionPool(HOST, server.port, 1, ours.client).take(5.0)
+        connection = await ConnectionPool(HOST, server.port, 1, ours.client).acquire(5.0)
         await connection.start_with_body(RequestHead(b"GET", b"/a", []), b"")
         assert await (await connection.response()).body.read_up_to(10) == b"/a "
-        assert await ConnectionPool(HOST, server.port, 1, theirs.client).take(5.0) is None
+        assert await ConnectionPool(HOST, server.port, 1, theirs.client).acquire(5.0) is None
         bare = ssl.create_default_context()
         bare.check_hostname = False
         bare.verify_mode = ssl.CERT_NONE
--- a/test/test_resting.py
+++ b/test/test_resting.py
@@ -72,17 +72,17 @@
         server = Server(lambda exchange: exchange.respond(ResponseHead(200)))
         await server.listen(HOST, 0)
         pool = ConnectionPool(HOST, server.port, 10)
-        connections = [await pool.take(1.0) for _ in range(3)]
+        connections = [await pool.acquire(1.0) for _ in range(3)]
         for connection in connections:
-            pool.give_back(connection)
-        used = await pool.take(1.0)
+            pool.release(connection)
+        used = await pool.acquire(1.0)
         # What the loop says of a socket whose bytes were not acknowledged in time.
         used.connection_lost(OSError(errno.ETIMEDOUT, "timed out"))
         assert used.timed_out and not used.request_unacknowledged
-        pool.give_back(used)
-        fresh = await pool.take(1.0)
+        pool.release(used)
+        fresh = await pool.acquire(1.0)
         assert fresh not in connections
-        pool.give_back(fresh)
+        pool.release(fresh)
         pool.close()
         await server.stop(0.0)
 
@@ -99,13 +99,13 @@
             (errno.ECONNRESET, 0.0, False),
         ):
             pool = ConnectionPool(HOST, server.port, 10)
-            connection = await pool.take(1.0)
+            connection = await pool.acquire(1.0)
             head = RequestHead(b"GET", b"/", [(b"host", b"a")])
             await connection.start_with_body(head, b"")
             connection._sent_at -= later
             connection.connection_lost(OSError(error, "as the loop tells it"))
             assert connection.request_unacknowledged is unacknowledged
-            pool.give_back(connection)
+            pool.release(connection)
         await server.stop(0.0)
 
     run(scenario)
