--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -62,7 +62,7 @@
             await self._send_request(connection, head, body)
             return BackendAnswer(await connection.response(), connection)
         except ConnectionError:
-            self._resting.on_reset(connection.rested, now)
+            self._resting.on_reset(connection.idle_seconds, now)
             self._pool.release(connection)
             return Unknown(Reason.CONNECTION_LOST)
         except BodyTruncated:
--- a/packages/wheatslipd/wheatslipd/http/client.py
+++ b/packages/wheatslipd/wheatslipd/http/client.py
@@ -57,7 +57,7 @@
         self.request_unacknowledged = False
         self._sent_at = 0.0  # start of the current request, by the loop's clock
         self.idle_since = 0.0  # by the loop's clock; set by the pool
-        self.rested = 0.0  # idle seconds before the pool last handed it out; 0: new
+        self.idle_seconds = 0.0  # before the pool last handed it out; 0: new
 
     @property
     def reusable(self) -> bool:
--- a/packages/wheatslipd/wheatslipd/http/pool.py
+++ b/packages/wheatslipd/wheatslipd/http/pool.py
@@ -33,8 +33,8 @@
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            connection.rested = now - connection.idle_since
-            if connection.reusable and connection.rested < min(
+            connection.idle_seconds = now - connection.idle_since
+            if connection.reusable and connection.idle_seconds < min(
                 max_idle_seconds, MAX_IDLE_SECONDS
             ):
                 return connection
