--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -13,7 +13,7 @@
 
 from wheatslipd.chain import EntryRequest, Filter, Proceed
 from wheatslipd.controllers.view import View
-from wheatslipd.http.messages import MILLISECONDS, RequestHead
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, RequestHead
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.outcometext import describe
@@ -201,7 +201,7 @@
         milliseconds = int(value)
     except ValueError:
         return None
-    return min(most, milliseconds / MILLISECONDS)
+    return min(most, milliseconds / MILLISECONDS_PER_SECOND)
 
 
 def _depth(head: RequestHead) -> int | None:
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -14,7 +14,7 @@
 
 from wheatslipd.chain import EntryRequest, Proceed
 from wheatslipd.http.identity import host_of
-from wheatslipd.http.messages import MILLISECONDS, RequestHead
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, RequestHead
 from wheatslipd.settings import HeaderNames
 
 
@@ -78,4 +78,4 @@
             milliseconds = float(value)
         except ValueError:
             return None
-        return milliseconds / MILLISECONDS if isfinite(milliseconds) else None
+        return milliseconds / MILLISECONDS_PER_SECOND if isfinite(milliseconds) else None
--- a/packages/wheatslipd/wheatslipd/gate/backendhead.py
+++ b/packages/wheatslipd/wheatslipd/gate/backendhead.py
@@ -6,7 +6,7 @@
 from wheatslip.call import Call
 
 from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER
-from wheatslipd.http.messages import MILLISECONDS, Headers, RequestHead
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, Headers, RequestHead
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
@@ -48,4 +48,4 @@
 
 def _milliseconds_left(call: Call, now: float) -> int:
     """Until the deadline; at least 1, as 0 would say that it has passed."""
-    return max(1, int(call.remaining(now) * MILLISECONDS))
+    return max(1, int(call.remaining(now) * MILLISECONDS_PER_SECOND))
--- a/packages/wheatslipd/wheatslipd/gate/health.py
+++ b/packages/wheatslipd/wheatslipd/gate/health.py
@@ -4,7 +4,7 @@
 
 from wheatslipd.gate.backend import Backend, BackendAnswer
 from wheatslipd.http.body import Body, BodyTruncated
-from wheatslipd.http.messages import MILLISECONDS, RequestHead, ResponseHead
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, RequestHead, ResponseHead
 
 MAX_BODY_BYTES = 64 * 1024  # of the answer; what comes beyond is not read
 
@@ -35,7 +35,7 @@
     if not header:
         return None
     try:
-        return max(0.0, float(head.get(header) or b"0")) / MILLISECONDS
+        return max(0.0, float(head.get(header) or b"0")) / MILLISECONDS_PER_SECOND
     except ValueError:
         return None
 
