--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -41,7 +41,7 @@
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
         """Trace the rest of the chain."""
         incoming = request.exchange.head.get(TRACEPARENT)
-        request.trace = self.tracer.hop("entry", incoming, is_head=True)
+        request.trace = self.tracer.hop("entry", incoming, may_start_trace=True)
         try:
             outcome = await proceed(request)
             request.trace.set("wheatslip.outcome", describe(outcome))
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -124,7 +124,9 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one forwarded request."""
-        trace = self._tracer.hop("admission", exchange.head.get(TRACEPARENT), is_head=False)
+        trace = self._tracer.hop(
+            "admission", exchange.head.get(TRACEPARENT), may_start_trace=False
+        )
         outcome: Outcome = Unknown(Reason.CANCELLED)
         try:
             outcome = await self._pass(exchange, trace)
--- a/packages/wheatslipd/wheatslipd/telemetry/tracing.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/tracing.py
@@ -50,11 +50,11 @@
         self._instance = instance
         self._file = open(path, "a", encoding="utf-8") if path else None  # noqa: SIM115
 
-    def hop(self, name: str, incoming: bytes | None, *, is_head: bool) -> HopTrace:
-        """Start a hop; with `is_head` a request without a trace may start a new one."""
+    def hop(self, name: str, incoming: bytes | None, *, may_start_trace: bool) -> HopTrace:
+        """Start a hop; with `may_start_trace` a request without a trace may start a new one."""
         parent = parse_traceparent(incoming) if incoming else None
         if parent is None:
-            if not is_head or not self.sample or self._rng.random() >= self.sample:
+            if not may_start_trace or not self.sample or self._rng.random() >= self.sample:
                 return HopTrace(None, incoming)
             return self._start(name, None)
         if not parent.trace_flags & TraceFlags.SAMPLED:
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -100,16 +100,16 @@
     tracer = HopTracer("papers-1", 0.0, "", Random(1))
     exporter = InMemorySpanExporter()
     tracer._provider.add_span_processor(SimpleSpanProcessor(exporter))
-    assert tracer.hop("entry", None, is_head=True).span is None
+    assert tracer.hop("entry", None, may_start_trace=True).span is None
     parent = b"00-" + b"a" * 32 + b"-" + b"b" * 16 + b"-01"
-    hop = tracer.hop("entry", parent, is_head=True)
+    hop = tracer.hop("entry", parent, may_start_trace=True)
     hop.end()
     (span,) = exporter.get_finished_spans()
     assert span.parent.span_id == int("b" * 16, 16)
     assert hop.outgoing.startswith(b"00-" + b"a" * 32)
     unsampled = parent[:-1] + b"0"
-    assert tracer.hop("entry", unsampled, is_head=True).outgoing == unsampled
-    assert tracer.hop("entry", b"nonsense", is_head=True).span is None
+    assert tracer.hop("entry", unsampled, may_start_trace=True).outgoing == unsampled
+    assert tracer.hop("entry", b"nonsense", may_start_trace=True).span is None
 
 
 def test_no_io_uring_is_opened():
