--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -293,7 +293,7 @@
         """The head of the request as it goes to the peer, with what its daemon must know."""
         names = self._settings.names
         original = sending.request.exchange.head
-        dropped = _NOT_FORWARDED | names.set_by_us
+        dropped = _NOT_FORWARDED | names.set_by_daemon
         headers = [(name, value) for name, value in original.forwarded() if name not in dropped]
         if names.caller:
             headers.append((names.caller, self._settings.caller))
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -84,7 +84,7 @@
     cold: bytes = b""
 
     @property
-    def set_by_us(self) -> frozenset[bytes]:
+    def set_by_daemon(self) -> frozenset[bytes]:
         """Headers that only the daemon sets; a caller's value must never be forwarded."""
         return frozenset({self.deadline, self.caller, self.instance} - {b""})
 
