--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -16,7 +16,7 @@
 from wheatslipd.gate.serverend import ServerEnds
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.gate.suspects import SuspectGuard
-from wheatslipd.settings import NO_CHECKS, Interface, Settings
+from wheatslipd.settings import CHECKS_DISABLED_PRICE, Interface, Settings
 from wheatslipd.shared import Shared
 from wheatslipd.telemetry.tracing import HopTracer
 
@@ -82,7 +82,7 @@
         closed_by = (ClosedBy.ZONE_UNKNOWN,)
         return Gate(admission, shared.view, shared.monotonic, closed_by=closed_by)
     probing = None
-    if settings.check_price < NO_CHECKS and settings.headers.load:
+    if settings.check_price < CHECKS_DISABLED_PRICE and settings.headers.load:
         probing = SpeedProbing(speed_check.probe_briefly, settings.check_price)
     return Gate(
         admission,
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -38,7 +38,7 @@
 
 
 MAX_ANSWER_HOLD = 16 * 1024 * 1024  # bytes
-NO_CHECKS = 1.0  # check-price from which speed checks are disabled
+CHECKS_DISABLED_PRICE = 1.0  # check-price from which speed checks are disabled
 PLAIN_TEXT_CHOICES = ("no", "yes", "trusted-network")
 LOG_LEVELS = {level.name.lower(): level for level in LogLevel}
 _Choice = TypeVar("_Choice", bound=StrEnum)
@@ -215,7 +215,7 @@
         cold_overage=backend.number("cold-overage", 1.0, 0.1, 1000.0),
         cold_slack=backend.number("cold-slack", 0.0, 0.0, 1e6),
         recovery_probe=backend.duration("recovery-probe", 0.1),
-        check_price=backend.number("check-price", 0.05, 0.0, NO_CHECKS),
+        check_price=backend.number("check-price", 0.05, 0.0, CHECKS_DISABLED_PRICE),
         checks_per_second=backend.number("checks-per-second", 20.0, 1.0, 1e4),
         feed=_feed(control, sections["platform"]),
         stop_listening_after=daemon.duration("stop-listening-after", 0.0),
