--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -9,7 +9,7 @@
 from wheatslipd.controllers.view import View
 from wheatslipd.feed.feed import Feed
 from wheatslipd.gate.serverside import ServerSide
-from wheatslipd.registration.ownserver import OwnServer
+from wheatslipd.registration.localbackend import LocalBackend
 from wheatslipd.settings import Settings
 from wheatslipd.telemetry import logs
 
@@ -25,7 +25,7 @@
         view: View,
         server_side: ServerSide,
         feed: Feed,
-        own_server: OwnServer | None,
+        own_server: LocalBackend | None,
     ):
         """`own_server` is None where the platform lists the instances."""
         super().__init__()
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -27,7 +27,7 @@
 from wheatslipd.feed.proof import proof_of
 from wheatslipd.gate.serverside import build_server_side
 from wheatslipd.http.server import Server
-from wheatslipd.registration.ownserver import ListedPorts, OwnServer
+from wheatslipd.registration.localbackend import ListedPorts, LocalBackend
 from wheatslipd.registration.registrar import HeartbeatDecoder, decode_heartbeat
 from wheatslipd.settings import Settings
 from wheatslipd.shared import Shared
@@ -179,8 +179,8 @@
         """Return the content of the status page."""
         return self._report.status()
 
-    def _build_local_backend(self, store: ObjectStore, adapters: Adapters) -> OwnServer:
-        return OwnServer(
+    def _build_local_backend(self, store: ObjectStore, adapters: Adapters) -> LocalBackend:
+        return LocalBackend(
             self.settings,
             self._shared,
             self.server_side,
--- a/packages/wheatslipd/wheatslipd/registration/ownserver.py
+++ b/packages/wheatslipd/wheatslipd/registration/localbackend.py
@@ -37,7 +37,7 @@
     control: int
 
 
-class OwnServer:
+class LocalBackend:
     """Registration, recovery probes and list entry of the local backend server."""
 
     def __init__(
