--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -57,7 +57,7 @@
             logs.warning("pool-not-in-bundle", pool=self._settings.pool, version=bundle.version)
             return
         admission = self._gate.admission
-        slots = self._own_server.take_bounds(pool) if self._own_server else pool.slots
+        slots = self._own_server.apply_pool(pool) if self._own_server else pool.slots
         admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
         admission.set_shares({w.name: w.share for w in bundle.workspaces})
         self._server_side.backend.bound_connections(pool.connections)
@@ -67,7 +67,7 @@
         """Apply what the backend server beside us reports, and publish it."""
         assert self._own_server is not None
         self._server_side.peer_port.server = registered.server
-        self._own_server.take_registration(registered)
+        self._own_server.apply_registration(registered)
         if registered.leaving:
             self.leaving(f"backend server {registered.server} leaves")
         else:
--- a/packages/wheatslipd/wheatslipd/registration/localbackend.py
+++ b/packages/wheatslipd/wheatslipd/registration/localbackend.py
@@ -98,7 +98,7 @@
         """Probe the server's health while its id is unknown or disputed, until cancelled."""
         await self._registrar.run()
 
-    def take_bounds(self, pool: Pool) -> int:
+    def apply_pool(self, pool: Pool) -> int:
         """Apply the bundle's settings of the pool and return the number of slots to use."""
         health_path = pool.health_path or self._settings.health_path
         self._registrar.health_path = health_path
@@ -122,7 +122,7 @@
         if not registered.leaving:
             self._gate.server_stays()
 
-    def take_registration(self, registered: Registered) -> None:
+    def apply_registration(self, registered: Registered) -> None:
         """Apply the slots that the server reports; the speed of a new server is measured."""
         if registered.server != self._server:
             self._reset_for_new_server(registered)
