--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -18,7 +18,7 @@
 from wheatslipd.controllers.view import Membership, Peer
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.settings import Settings
-from wheatslipd.shared import Shared
+from wheatslipd.shared import SharedState
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
@@ -33,7 +33,9 @@
 
     channel = "*"
 
-    def __init__(self, settings: Settings, shared: Shared, owners: OwnerHistory, tls: PeerTls):
+    def __init__(
+        self, settings: Settings, shared: SharedState, owners: OwnerHistory, tls: PeerTls
+    ):
         super().__init__()
         self._view = shared.view
         self._name = settings.name
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -30,7 +30,7 @@
 from wheatslipd.registration.localbackend import ListedPorts, LocalBackend
 from wheatslipd.registration.registrar import HeartbeatDecoder, decode_heartbeat
 from wheatslipd.settings import Settings
-from wheatslipd.shared import Shared
+from wheatslipd.shared import SharedState
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.pagesource import PageSource, Status
@@ -75,7 +75,7 @@
         tls = peer_tls(settings.peer_tls)
         owners = OwnerHistory()
         metrics = Metrics(settings.name, settings.zone)
-        shared = Shared(View(), Bus(), metrics, rng, Quarantine(), monotonic, unix)
+        shared = SharedState(View(), Bus(), metrics, rng, Quarantine(), monotonic, unix)
         self.settings = settings
         self.view = shared.view
         self.bus = shared.bus
--- a/packages/wheatslipd/wheatslipd/entry/wiring.py
+++ b/packages/wheatslipd/wheatslipd/entry/wiring.py
@@ -10,12 +10,16 @@
 from wheatslipd.entry.forward import Decisions, Forwarder, ForwardSettings
 from wheatslipd.entry.routefilter import RouteFilter
 from wheatslipd.settings import Interface, Settings
-from wheatslipd.shared import Shared
+from wheatslipd.shared import SharedState
 from wheatslipd.telemetry.tracing import HopTracer
 
 
 def build_entry(
-    settings: Settings, shared: Shared, chooser: Chooser, tracer: HopTracer, cache: FeedCache
+    settings: Settings,
+    shared: SharedState,
+    chooser: Chooser,
+    tracer: HopTracer,
+    cache: FeedCache,
 ) -> Entry:
     """Build the entry. The number of listed instances bounds its repeated sends."""
     by_routes = settings.interface is Interface.ROUTES
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -17,7 +17,7 @@
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.gate.suspects import SuspectGuard
 from wheatslipd.settings import CHECKS_DISABLED_PRICE, Interface, Settings
-from wheatslipd.shared import Shared
+from wheatslipd.shared import SharedState
 from wheatslipd.telemetry.tracing import HopTracer
 
 BACKEND_CONNECTIONS = 220  # at most, until a bundle names a number; a pool's default
@@ -38,7 +38,7 @@
 
 def build_server_side(
     settings: Settings,
-    shared: Shared,
+    shared: SharedState,
     tracer: HopTracer,
     owners: OwnerHistory,
     cache: FeedCache,
@@ -75,7 +75,7 @@
     return ServerSide(peer_port, keys, gate, speed_check, backend, measurer, ends)
 
 
-def _gate(settings: Settings, shared: Shared, speed_check: SpeedCheck) -> Gate:
+def _gate(settings: Settings, shared: SharedState, speed_check: SpeedCheck) -> Gate:
     """The gate, closed until the zone drains are known and a server has registered."""
     admission = Admission(AdmissionSettings())
     if not settings.lists_itself:
@@ -94,7 +94,9 @@
     )
 
 
-def _measurer(settings: Settings, shared: Shared, gate: Gate, backend: Backend) -> Measurer:
+def _measurer(
+    settings: Settings, shared: SharedState, gate: Gate, backend: Backend
+) -> Measurer:
     def is_silent(seconds: float) -> bool:
         admission = gate.admission
         silence = shared.monotonic() - admission.last_finished
--- a/packages/wheatslipd/wheatslipd/registration/localbackend.py
+++ b/packages/wheatslipd/wheatslipd/registration/localbackend.py
@@ -24,7 +24,7 @@
 from wheatslipd.registration.registrar import HeartbeatDecoder, Registrar
 from wheatslipd.registration.removal import DeadEntryRemover
 from wheatslipd.settings import Settings
-from wheatslipd.shared import Shared
+from wheatslipd.shared import SharedState
 
 PUBLISH_TIMEOUT_SECONDS = 0.5  # for the last write of the list entry in a planned stop
 
@@ -43,7 +43,7 @@
     def __init__(
         self,
         settings: Settings,
-        shared: Shared,
+        shared: SharedState,
         server_side: ServerSide,
         feed: Feed,
         store: ObjectStore,
--- a/packages/wheatslipd/wheatslipd/shared.py
+++ b/packages/wheatslipd/wheatslipd/shared.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class SharedState:
     """State, events, metrics, random generator, quarantine and clocks of one daemon.
 
     The caller that starts the daemon seeds `rng`. Both clocks return seconds.
--- a/packages/wheatslipd/wheatslipd/telemetry/statereport.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/statereport.py
@@ -4,7 +4,7 @@
 from wheatslipd.gate.serverside import ServerSide
 from wheatslipd.http.server import Server
 from wheatslipd.settings import Settings
-from wheatslipd.shared import Shared
+from wheatslipd.shared import SharedState
 from wheatslipd.telemetry.pagesource import HeldRequest, Status
 
 
@@ -14,7 +14,7 @@
     def __init__(
         self,
         settings: Settings,
-        shared: Shared,
+        shared: SharedState,
         entry_server: Server,
         peer_server: Server,
         server_side: ServerSide,
