--- a/packages/wheatslipd/wheatslipd/chain.py
+++ b/packages/wheatslipd/wheatslipd/chain.py
@@ -25,7 +25,7 @@
     """
 
     exchange: Exchange
-    arrived: float  # seconds, monotonic
+    arrived_at: float  # seconds, monotonic
     trace: HopTrace = field(default_factory=HopTrace)  # TraceFilter
     configuration: Configuration | None = None  # ReadyFilter; in force for this request
     workspace: Workspace | None = None  # IdentifyFilter; None with the routes interface
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -62,7 +62,7 @@
         outcome = await proceed(request)
         workspace = request.workspace.name if request.workspace else "-"
         service = request.service.name if request.service else "-"
-        took = self.clock() - request.arrived
+        took = self.clock() - request.arrived_at
         labels = {"workspace": workspace, "service": service, "outcome": describe(outcome)}
         self.metrics.requests.inc(labels)
         self.metrics.request_seconds.observe({"service": service}, took)
@@ -162,7 +162,7 @@
             workspace=request.workspace.name,
             service=request.service.name,
             kind=kind,
-            deadline=request.arrived + allowed,
+            deadline=request.arrived_at + allowed,
             key=key,
             depth=depth,
         )
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -52,19 +52,19 @@
     def _call(self, request: EntryRequest, route: Route, remaining: float) -> Call:
         assert request.service is not None
         allowed = min(route.timeout, remaining)
-        waited = self.caller_wait.waited(route.name, remaining, request.arrived)
+        waited = self.caller_wait.waited(route.name, remaining, request.arrived_at)
         urgent = route.priority == 0
         call_class = CallClass.URGENT if urgent else CallClass.NORMAL
-        arrived = request.arrived
+        arrived_at = request.arrived_at
         target = min(route.target or route.timeout, allowed)
         request_id = request.exchange.head.get(self.names.request_id) or b""
         return Call(
             workspace=request.service.workspace,
             service=request.service.name,
             kind=RequestKind(route.name, route.repeatable, call_class),
-            deadline=arrived + allowed,
-            target=arrived + target - waited,
-            hold_until=arrived + target,
+            deadline=arrived_at + allowed,
+            target=arrived_at + target - waited,
+            hold_until=arrived_at + target,
             max_attempts=route.max_attempts,
             request_id=request_id.decode("latin-1"),
         )
