--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -9,7 +9,7 @@
 from wheatslipd.controllers.view import View
 from wheatslipd.feed.feed import Feed
 from wheatslipd.gate.serverside import ServerSide
-from wheatslipd.registration.ownserver import OwnServer
+from wheatslipd.registration.localbackend import LocalBackend
 from wheatslipd.settings import Settings
 from wheatslipd.telemetry import logs
 
@@ -25,7 +25,7 @@
         view: View,
         server_side: ServerSide,
         feed: Feed,
-        own_server: OwnServer | None,
+        own_server: LocalBackend | None,
     ):
         """`own_server` is None if the platform lists the instances."""
         super().__init__()
@@ -57,7 +57,7 @@
             logs.warning("pool-not-in-bundle", pool=self._settings.pool, version=bundle.version)
             return
         admission = self._gate.admission
-        slots = self._own_server.take_bounds(pool) if self._own_server else pool.slots
+        slots = self._own_server.apply_pool(pool) if self._own_server else pool.slots
         admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
         admission.set_shares({w.name: w.share for w in bundle.workspaces})
         self._server_side.backend.set_connection_limit(pool.connections)
@@ -67,7 +67,7 @@
         """Apply the registration of the local backend server, and publish it."""
         assert self._own_server is not None
         self._server_side.peer_port.server = registered.server
-        self._own_server.take_registration(registered)
+        self._own_server.apply_registration(registered)
         if registered.leaving:
             self.leaving(f"backend server {registered.server} leaves")
         else:
--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -13,7 +13,7 @@
 
 from wheatslipd.chain import EntryRequest, Filter, Proceed
 from wheatslipd.controllers.view import View
-from wheatslipd.http.messages import MILLISECONDS, RequestHead
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, RequestHead
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 from wheatslipd.telemetry.outcometext import describe
@@ -40,7 +40,7 @@
 
     async def __call__(self, request: EntryRequest, proceed: Proceed) -> Outcome:
         incoming = request.exchange.head.get(TRACEPARENT)
-        request.trace = self.tracer.hop("entry", incoming, is_head=True)
+        request.trace = self.tracer.hop("entry", incoming, may_start_trace=True)
         try:
             outcome = await proceed(request)
             request.trace.set("wheatslip.outcome", describe(outcome))
@@ -60,7 +60,7 @@
         outcome = await proceed(request)
         workspace = request.workspace.name if request.workspace else "-"
         service = request.service.name if request.service else "-"
-        elapsed = self.clock() - request.arrived
+        elapsed = self.clock() - request.arrived_at
         labels = {"workspace": workspace, "service": service, "outcome": describe(outcome)}
         self.metrics.requests.inc(labels)
         self.metrics.request_seconds.observe({"service": service}, elapsed)
@@ -159,7 +159,7 @@
             workspace=request.workspace.name,
             service=request.service.name,
             kind=kind,
-            deadline=request.arrived + allowed_seconds,
+            deadline=request.arrived_at + allowed_seconds,
             key=key,
             depth=depth,
         )
@@ -198,7 +198,7 @@
         milliseconds = int(value)
     except ValueError:
         return None
-    return min(max_seconds, milliseconds / MILLISECONDS)
+    return min(max_seconds, milliseconds / MILLISECONDS_PER_SECOND)
 
 
 def _depth(head: RequestHead) -> int | None:
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -31,7 +31,7 @@
 from wheatslipd.controllers.view import Peer, View
 from wheatslipd.entry.refusals import RETRY_AFTER_MS_HEADER
 from wheatslipd.entry.sendguard import SendGuard
-from wheatslipd.http.body import BodyBroken
+from wheatslipd.http.body import BodyTruncated
 from wheatslipd.http.client import ClientConnection, Response
 from wheatslipd.http.messages import RequestHead, ResponseHead
 from wheatslipd.settings import HeaderNames, LogLevel
@@ -144,7 +144,7 @@
             await request.exchange.send_continue()
         try:
             body_prefix = await body.read_up_to(REPLAY_LIMIT_BYTES)
-        except BodyBroken:
+        except BodyTruncated:
             return None
         assert request.configuration is not None
         pool = request.configuration.services[call.service].pool
@@ -228,14 +228,14 @@
         upstream = peer.upstream
         upstream.on_sent()
         try:
-            connection = await peer.connections.take(self._connect_timeout(prepared.call))
+            connection = await peer.connections.acquire(self._connect_timeout(prepared.call))
             if connection is None:
                 upstream.on_unreachable(self._clock(), self._rng)
                 return NO_PEER_CONNECTION
             try:
                 return await self._exchange(prepared, next_try, peer, connection)
             finally:
-                peer.connections.give_back(connection)
+                peer.connections.release(connection)
         finally:
             upstream.on_done()
 
@@ -260,7 +260,7 @@
         try:
             await self._send_request(prepared, next_try, connection)
             response = await connection.response()
-        except BodyBroken:
+        except BodyTruncated:
             return Unknown(Reason.CANCELLED)
         except ConnectionError:
             peer.upstream.on_failure(self._clock(), self._rng)
@@ -276,7 +276,7 @@
             return ANSWER_DISCARDED
         try:
             buffered = await response.body.read_up_to(self._settings.answer_hold)
-        except BodyBroken:
+        except BodyTruncated:
             # Nothing was sent to the caller yet, so another try may still answer.
             return Unknown(Reason.CONNECTION_LOST)
         # The deadline applies to the response head only; the body is streamed without one.
@@ -313,7 +313,7 @@
         """Build the request head for the peer, with the hop headers that its daemon reads."""
         names = self._settings.names
         original_head = prepared.request.exchange.head
-        dropped_names = _STRIPPED_HEADERS | names.set_by_us
+        dropped_names = _STRIPPED_HEADERS | names.set_by_daemon
         headers = [
             (name, value)
             for name, value in original_head.forwarded()
@@ -381,7 +381,7 @@
         try:
             await request.exchange.write(buffered)
             await request.exchange.relay(response.body)
-        except BodyBroken:
+        except BodyTruncated:
             # The caller's connection is broken off, so a truncated body does not look complete.
             return Unknown(Reason.CONNECTION_LOST)
         return Answered(head.status)
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -14,7 +14,7 @@
 
 from wheatslipd.chain import EntryRequest, Proceed
 from wheatslipd.http.identity import host_of
-from wheatslipd.http.messages import MILLISECONDS, RequestHead
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, RequestHead
 from wheatslipd.settings import HeaderNames
 
 
@@ -52,19 +52,21 @@
     def _call(self, request: EntryRequest, route: Route, remaining: float) -> Call:
         assert request.service is not None
         allowed_seconds = min(route.timeout, remaining)
-        waited_seconds = self.caller_wait.elapsed_wait(route.name, remaining, request.arrived)
+        waited_seconds = self.caller_wait.elapsed_wait(
+            route.name, remaining, request.arrived_at
+        )
         is_urgent = route.priority == 0
         call_class = CallClass.URGENT if is_urgent else CallClass.NORMAL
-        arrived = request.arrived
+        arrived_at = request.arrived_at
         target = min(route.target or route.timeout, allowed_seconds)
         request_id = request.exchange.head.get(self.names.request_id) or b""
         return Call(
             workspace=request.service.workspace,
             service=request.service.name,
             kind=RequestKind(route.name, route.repeatable, call_class),
-            deadline=arrived + allowed_seconds,
-            target=arrived + target - waited_seconds,
-            hold_until=arrived + target,
+            deadline=arrived_at + allowed_seconds,
+            target=arrived_at + target - waited_seconds,
+            hold_until=arrived_at + target,
             max_attempts=route.max_attempts,
             request_id=request_id.decode("latin-1"),
         )
@@ -78,4 +80,4 @@
             milliseconds = float(value)
         except ValueError:
             return None
-        return milliseconds / MILLISECONDS if isfinite(milliseconds) else None
+        return milliseconds / MILLISECONDS_PER_SECOND if isfinite(milliseconds) else None
--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -8,7 +8,7 @@
 from wheatslip.outcome import NotRun, Reason, Unknown
 from wheatslip.retryafter import NO_CONNECTION
 
-from wheatslipd.http.body import Body, BodyBroken
+from wheatslipd.http.body import Body, BodyTruncated
 from wheatslipd.http.client import ClientConnection, Response
 from wheatslipd.http.messages import RequestHead
 from wheatslipd.http.pool import ConnectionPool
@@ -57,7 +57,7 @@
         """
         now = asyncio.get_running_loop().time()
         timeout = max(self._connect_timeout, connect_timeout)
-        connection = await self._pool.take(timeout, self._idle_limit.max_idle(now))
+        connection = await self._pool.acquire(timeout, self._idle_limit.max_idle(now))
         if connection is None:
             return NO_CONNECTION
         on_connected()
@@ -67,14 +67,14 @@
             await self._send_request(connection, head, body)
             return BackendAnswer(await connection.response(), connection)
         except ConnectionError:
-            self._idle_limit.on_reset(connection.rested, now)
-            self._pool.give_back(connection)
+            self._idle_limit.on_reset(connection.idle_seconds, now)
+            self._pool.release(connection)
             return Unknown(Reason.CONNECTION_LOST)
-        except BodyBroken:
-            self._pool.give_back(connection)
+        except BodyTruncated:
+            self._pool.release(connection)
             return Unknown(Reason.CONNECTION_LOST)
         except BaseException:
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             raise
 
     async def refuses_connections(self) -> bool:
@@ -105,7 +105,7 @@
 
     def release(self, answer: BackendAnswer) -> None:
         """Return the connection to the pool; it closes if the body was not read completely."""
-        self._pool.give_back(answer.connection)
+        self._pool.release(answer.connection)
 
     def close(self) -> None:
         """Close idle connections."""
@@ -115,7 +115,7 @@
         self, connection: ClientConnection, head: RequestHead, body: Body
     ) -> None:
         if body.complete:
-            content = await body.read_up_to(body.held + 1)
+            content = await body.read_up_to(body.buffered_bytes + 1)
             if content or head.method not in METHODS_WITHOUT_CONTENT:
                 head.headers.append((b"content-length", b"%d" % len(content)))
             await connection.start_with_body(head, content)
--- a/packages/wheatslipd/wheatslipd/gate/backendhead.py
+++ b/packages/wheatslipd/wheatslipd/gate/backendhead.py
@@ -7,7 +7,7 @@
 from wheatslip.call import Call
 
 from wheatslipd.entry.filters import DEADLINE_HEADER, DEPTH_HEADER
-from wheatslipd.http.messages import MILLISECONDS, Headers, RequestHead
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, Headers, RequestHead
 from wheatslipd.settings import HeaderNames
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
@@ -52,4 +52,4 @@
 
 def _remaining_ms(call: Call, now: float) -> int:
     """Milliseconds until the deadline; at least 1, because 0 would mean that it has passed."""
-    return max(1, int(call.remaining(now) * MILLISECONDS))
+    return max(1, int(call.remaining(now) * MILLISECONDS_PER_SECOND))
--- a/packages/wheatslipd/wheatslipd/gate/health.py
+++ b/packages/wheatslipd/wheatslipd/gate/health.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from wheatslipd.gate.backend import Backend, BackendAnswer
-from wheatslipd.http.body import Body, BodyBroken
-from wheatslipd.http.messages import MILLISECONDS, RequestHead, ResponseHead
+from wheatslipd.http.body import Body, BodyTruncated
+from wheatslipd.http.messages import MILLISECONDS_PER_SECOND, RequestHead, ResponseHead
 
 MAX_BODY_BYTES = 64 * 1024  # the rest of a longer response is not read
 
@@ -23,7 +23,7 @@
                 await answer.response.body.read_up_to(MAX_BODY_BYTES)
             finally:
                 backend.release(answer)
-    except (TimeoutError, BodyBroken):
+    except (TimeoutError, BodyTruncated):
         return None
     return answer.response.head
 
@@ -36,7 +36,7 @@
     if not header:
         return None
     try:
-        return max(0.0, float(head.get(header) or b"0")) / MILLISECONDS
+        return max(0.0, float(head.get(header) or b"0")) / MILLISECONDS_PER_SECOND
     except ValueError:
         return None
 
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -40,7 +40,7 @@
 from wheatslipd.gate.keyguard import KeyGuard
 from wheatslipd.gate.serverend import ServerEndDetector
 from wheatslipd.gate.suspects import SuspectGuard
-from wheatslipd.http.body import BodyBroken
+from wheatslipd.http.body import BodyTruncated
 from wheatslipd.http.exchange import Exchange
 from wheatslipd.http.identity import fingerprint_of
 from wheatslipd.http.messages import Headers, RequestHead, ResponseHead
@@ -129,7 +129,9 @@
         self.server = ""  # registered id of the backend server, or empty
 
     async def handle(self, exchange: Exchange) -> None:
-        trace = self._tracer.hop("admission", exchange.head.get(TRACEPARENT), is_head=False)
+        trace = self._tracer.hop(
+            "admission", exchange.head.get(TRACEPARENT), may_start_trace=False
+        )
         outcome: Outcome = Unknown(Reason.CANCELLED)
         try:
             outcome = await self._process(exchange, trace)
@@ -148,8 +150,8 @@
         call = _decode_call(hop, self._clock(), request_id.decode("latin-1"))
         if not exchange.expects_continue:
             try:
-                await exchange.body.hold_up_to(BUFFERED_BODY_BYTES)
-            except BodyBroken:
+                await exchange.body.buffer_up_to(BUFFERED_BODY_BYTES)
+            except BodyTruncated:
                 return Unknown(Reason.CANCELLED)
         request = _ForwardedRequest(exchange, hop, call, trace, _fingerprint(exchange, hop))
         refusal = await self._check_entry(hop, exchange)
@@ -311,7 +313,7 @@
         request.exchange.start(ResponseHead(response.head.status, headers))
         try:
             await request.exchange.relay(response.body, kept.add if kept is not None else None)
-        except BodyBroken:
+        except BodyTruncated:
             return Unknown(Reason.CONNECTION_LOST)
         if kept is not None:
             kept.status = response.head.status
--- a/packages/wheatslipd/wheatslipd/gate/serverside.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverside.py
@@ -16,8 +16,8 @@
 from wheatslipd.gate.serverend import ServerEndDetector
 from wheatslipd.gate.speedcheck import SpeedCheck
 from wheatslipd.gate.suspects import SuspectGuard
-from wheatslipd.settings import NO_CHECKS, Interface, Settings
-from wheatslipd.shared import Shared
+from wheatslipd.settings import CHECKS_DISABLED_PRICE, Interface, Settings
+from wheatslipd.shared import SharedState
 from wheatslipd.telemetry.tracing import HopTracer
 
 DEFAULT_MAX_CONNECTIONS = 220  # until a bundle sets a limit; default of a pool
@@ -38,7 +38,7 @@
 
 def build_server_side(
     settings: Settings,
-    shared: Shared,
+    shared: SharedState,
     tracer: HopTracer,
     owners: OwnerHistory,
     cache: FeedCache,
@@ -82,7 +82,7 @@
     return ServerSide(peer_port, keys, gate, speed_check, backend, idle_probe, end_detector)
 
 
-def _build_gate(settings: Settings, shared: Shared, speed_check: SpeedCheck) -> Gate:
+def _build_gate(settings: Settings, shared: SharedState, speed_check: SpeedCheck) -> Gate:
     """Build the gate, closed until the zone drains are known.
 
     If the backend server registers with this daemon, the gate is also closed until it has.
@@ -92,7 +92,7 @@
         closed_by = (ClosedBy.ZONE_UNKNOWN,)
         return Gate(admission, shared.view, shared.monotonic, closed_by=closed_by)
     probing = None
-    if settings.check_price < NO_CHECKS and settings.headers.load:
+    if settings.check_price < CHECKS_DISABLED_PRICE and settings.headers.load:
         probing = SpeedProbing(speed_check.probe_for_request, settings.check_price)
     return Gate(
         admission,
@@ -105,7 +105,7 @@
 
 
 def _build_idle_probe(
-    settings: Settings, shared: Shared, gate: Gate, backend: Backend
+    settings: Settings, shared: SharedState, gate: Gate, backend: Backend
 ) -> IdleProbe:
     def is_idle(seconds: float) -> bool:
         admission = gate.admission
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from wheatslipd.http.body import HIGH_WATER, Body, BodyBroken
+from wheatslipd.http.body import HIGH_WATER_BYTES, Body, BodyTruncated
 from wheatslipd.http.messages import RequestHead, ResponseHead
 from wheatslipd.http.pool import ConnectionPool
 from wheatslipd.http.server import Server
@@ -114,12 +114,12 @@
         writer.write(data + b"\r\n\r\n")
         writer.close()
         pool = ConnectionPool(HOST, port, 4)
-        connection = await pool.take(1.0)
+        connection = await pool.acquire(1.0)
         target = b"/%d" % number
         await connection.start_with_body(RequestHead(b"GET", target, []), b"")
         response = await connection.response()
         assert await response.body.read_up_to(100) == target + b" "
-        pool.give_back(connection)
+        pool.release(connection)
         pool.close()
 
     with_server(scenario)
@@ -141,13 +141,13 @@
 
 
 async def _fetch(pool, method=b"GET"):
-    connection = await pool.take(1.0)
+    connection = await pool.acquire(1.0)
     try:
         await connection.start_with_body(RequestHead(method, b"/", []), b"")
         response = await connection.response()
         return await response.body.read_up_to(1 << 20), connection
     finally:
-        pool.give_back(connection)
+        pool.release(connection)
 
 
 @pytest.mark.parametrize(
@@ -213,7 +213,7 @@
             writer.close()
 
         server = await asyncio.start_server(serve, HOST, 0)
-        with pytest.raises(BodyBroken):
+        with pytest.raises(BodyTruncated):
             await _fetch(ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4))
         server.close()
 
@@ -222,7 +222,7 @@
 
 def test_a_large_body_is_not_held_in_memory():
     total = 20 << 20
-    held = []
+    buffered_bytes = []
 
     async def stream(exchange):
         exchange.start(ResponseHead(200))
@@ -231,16 +231,16 @@
         await exchange.finish()
 
     async def scenario(port):
-        connection = await ConnectionPool(HOST, port, 1).take(1.0)
+        connection = await ConnectionPool(HOST, port, 1).acquire(1.0)
         await connection.start_with_body(RequestHead(b"GET", b"/", []), b"")
         response = await connection.response()
         size = 0
         async for chunk in response.body.chunks():
-            held.append(response.body.held)
+            buffered_bytes.append(response.body.buffered_bytes)
             size += len(chunk)
             await asyncio.sleep(0)
         assert size == total
-        assert max(held) < 2 << 20
+        assert max(buffered_bytes) < 2 << 20
 
     with_server(scenario, stream)
 
@@ -267,14 +267,14 @@
     async def scenario():
         server, port = await raw_server(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         pool = ConnectionPool(HOST, port, 4)
-        connection = await pool.take(1.0)
+        connection = await pool.acquire(1.0)
         await connection.start(RequestHead(b"POST", b"/"))
         response = await connection.response()
         assert response.head.status == 503
         await connection.write(b"rest")
         await connection.finish()
         assert not connection.reusable
-        pool.give_back(connection)
+        pool.release(connection)
         server.close()
 
     run(scenario)
@@ -298,13 +298,13 @@
         server = await asyncio.start_server(serve, HOST, 0)
         pool = ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4)
         for number in (1, 2, 3):
-            connection = await pool.take(1.0)
+            connection = await pool.acquire(1.0)
             connection.expect_echo(b"request-id", b"%d" % number)
             await connection.start_with_body(RequestHead(b"GET", b"/"), b"")
             response = await connection.response()
             assert await response.body.read_up_to(100) == b"answer %d" % number
-            pool.give_back(connection)
-        assert pool.opened == 1
+            pool.release(connection)
+        assert pool.opened_count == 1
         pool.close()
         server.close()
 
@@ -314,7 +314,7 @@
 def test_a_body_is_waited_for_without_being_read():
     async def scenario():
         body = Body(lambda: None, lambda: None)
-        waiting = asyncio.create_task(body.hold_up_to(8))
+        waiting = asyncio.create_task(body.buffer_up_to(8))
         await asyncio.sleep(0)
         body.feed(b"abc")
         await asyncio.sleep(0)
@@ -324,11 +324,11 @@
         assert await body.read_up_to(8) == b"abc"
         longer = Body(lambda: None, lambda: None)
         longer.feed(b"0123456789")
-        await longer.hold_up_to(8)
+        await longer.buffer_up_to(8)
         broken = Body(lambda: None, lambda: None)
-        broken.break_off()
-        with pytest.raises(BodyBroken):
-            await broken.hold_up_to(8)
+        broken.mark_truncated()
+        with pytest.raises(BodyTruncated):
+            await broken.buffer_up_to(8)
 
     run(scenario)
 
@@ -340,12 +340,12 @@
     """
 
     async def answer_unread(exchange):
-        await exchange.body.hold_up_to(1 << 20)
+        await exchange.body.buffer_up_to(1 << 20)
         await exchange.respond(ResponseHead(200), exchange.head.target)
 
     async def scenario(port):
         reader, writer = await asyncio.open_connection(HOST, port)
-        size = HIGH_WATER + 1
+        size = HIGH_WATER_BYTES + 1
         writer.write(b"POST /one HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % size + b"x" * size)
         assert (await reader.readuntil(b"/one")).startswith(b"HTTP/1.1 200")
         writer.write(b"GET /two HTTP/1.1\r\n\r\n")
