--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -92,17 +92,17 @@
         if self.view.closed:
             return STOPPING
         if not self.view.initialized.is_set():
-            await self._wait_for_start()
+            await self._wait_until_ready()
         if self.view.configuration is None or self.view.drains is None:
             return NOT_CONFIGURED
         request.configuration = self.view.configuration
         return await proceed(request)
 
-    async def _wait_for_start(self) -> None:
-        """Wait until what requests need is known, as long as that is expected."""
-        left = self.view.startup_deadline - self.clock()
+    async def _wait_until_ready(self) -> None:
+        """Wait for configuration and zone drains, until the expected end of startup."""
+        remaining = self.view.startup_deadline - self.clock()
         with suppress(TimeoutError):
-            async with asyncio.timeout(max(0.0, left)):
+            async with asyncio.timeout(max(0.0, remaining)):
                 await self.view.initialized.wait()
 
 
--- a/packages/wheatslipd/wheatslipd/registration/localbackend.py
+++ b/packages/wheatslipd/wheatslipd/registration/localbackend.py
@@ -115,7 +115,7 @@
         )
 
     def _on_heartbeat(self, registered: RegisteredServer) -> None:
-        """Apply the reported warm-up time; keep the gate open unless the server leaves."""
+        """Apply the reported warm-up time; reopen the gate unless the server leaves."""
         now = self._clock()
         if registered.warm_at is not None:
             self._gate.admission.cold.on_report(registered.warm_at - now, now)
