--- a/packages/wheatslipd/wheatslipd/telemetry/pages.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pages.py
@@ -16,7 +16,7 @@
 
 from wheatslipd.telemetry.pagesource import PageSource
 
-START_TIMEOUT_SECONDS = 10.0  # seconds until the server listens
+START_TIMEOUT_SECONDS = 10.0  # for the server to listen
 
 
 class _Pages(Controller):
