--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -6,7 +6,7 @@
 
 from wheatslip.store.instances import INSTANCE_KIND
 from wheatslip.upstream import DEAD_AFTER_FAILURES, DEAD_AFTER_SECONDS
-from wheatslipd.registration.removal import RANK_SECONDS
+from wheatslipd.registration.removal import RANK_DELAY_SECONDS
 
 from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault
@@ -179,7 +179,7 @@
                 await remover.remove_dead()
             assert len([c for c in one.store.calls if c.startswith("DELETE")]) <= 1
             for remover in removers:
-                remover._clock = lambda: DEAD_AFTER_SECONDS + RANK_SECONDS + 1
+                remover._clock = lambda: DEAD_AFTER_SECONDS + RANK_DELAY_SECONDS + 1
                 await remover.remove_dead()
             assert [c for c in one.store.calls if c.startswith("DELETE")]
             one.store.fault = Fault.NONE
