--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -1,9 +1,7 @@
-"""A change is in force in time, whichever single source of news goes quiet without an error.
+"""A configuration change is in force in time although one of its sources falls silent.
 
-What happened: a change that the platform had acknowledged was still unknown to one daemon 3.4 s
-later. It had just become a reader, on a link that was full.
-
-Connections that go silent stay open: neither end sees an error, and new ones work.
+Silent connections stay open: neither end sees an error, and new connections work. Guards
+against a change that reaches a daemon late after the platform has acknowledged it.
 """
 
 import asyncio
@@ -29,20 +27,19 @@
 from test.routed_fleet import configuration, fleet
 
 IN_FORCE_SECONDS = 2.0  # from the write
-# From the moment at which all connections go silent: until then no daemon is in touch.
-IN_TOUCH_SECONDS = 3.0
+RECONNECT_SECONDS = 3.0  # from the moment at which all connections fall silent
 NAMES = "abcdefghijkl"
 ZONES = dict(zip(NAMES, ("one", "two") * 6, strict=True))
-LONG = 1400  # routes of a long configuration
-SIZE = 260_000  # bytes, of a configuration with so many
-LINK = 200_000  # bytes a second: that configuration takes 1.3 s
+EXTRA_ROUTES = 1400  # in a large configuration
+CONFIGURATION_BYTES = 260_000  # size of a configuration with EXTRA_ROUTES
+LINK_BYTES_PER_SECOND = 200_000  # a large configuration takes 1.3 s
 
 
-def order(zone):
+def zone_order(zone):
     return relay_order(name for name in NAMES if ZONES[name] == zone)
 
 
-def silent_fleet(**options):
+def fleet_with_links(**options):
     options.setdefault("link_bytes", dict.fromkeys(NAMES, inf))
     return fleet(
         *NAMES,
@@ -54,134 +51,140 @@
     )
 
 
-async def settled(one):
-    """Wait until each reader has its watch at the store and each daemon follows one."""
+async def wait_until_connected(cluster):
+    """Wait until each watcher watches the store and each daemon follows a parent."""
 
-    async def follows():
-        readers = WATCHERS * len(set(ZONES.values()))
-        return one.store.waiting["config"] >= readers and all(
-            daemon.feed.parent for daemon in one.daemons.values()
+    async def is_connected():
+        watchers = WATCHERS * len(set(ZONES.values()))
+        return cluster.store.waiting["config"] >= watchers and all(
+            daemon.feed.parent for daemon in cluster.daemons.values()
         )
 
-    await eventually(follows)
+    await eventually(is_connected)
 
 
-async def change_arrives(one, version, seconds=IN_FORCE_SECONDS, **options):
-    one.store.write("config", "main", configuration(version, **options))
+async def assert_change_in_force(cluster, version, seconds=IN_FORCE_SECONDS, **options):
+    cluster.store.write("config", "main", configuration(version, **options))
 
     async def in_force():
-        return all(d.status().version == version for d in one.daemons.values())
+        return all(d.status().version == version for d in cluster.daemons.values())
 
     try:
         async with asyncio.timeout(seconds):
             await eventually(in_force)
     except TimeoutError:
-        late = [n for n, d in one.daemons.items() if d.status().version != version]
-        raise AssertionError(f"late at {late}") from None
+        late = [n for n, d in cluster.daemons.items() if d.status().version != version]
+        raise AssertionError(f"version {version} is not in force at {late}") from None
 
 
-def parents(one):
-    """The daemons that others follow, those with most followers first."""
-    followed = Counter(daemon.feed.parent for daemon in one.daemons.values())
-    return [name for name, _ in followed.most_common()]
+def parents(cluster):
+    """The daemons that have followers, the one with the most first."""
+    followers = Counter(daemon.feed.parent for daemon in cluster.daemons.values())
+    return [name for name, _ in followers.most_common()]
 
 
 @pytest.mark.parametrize("rank", [0, 1, 2])
-def test_a_parent_whose_streams_go_silent(rank):
+def test_a_change_arrives_although_a_parents_streams_fall_silent(rank):
     async def scenario():
-        async with silent_fleet() as one:
-            await settled(one)
-            one.control_links[parents(one)[rank]].silence()
-            await change_arrives(one, 2)
+        async with fleet_with_links() as cluster:
+            await wait_until_connected(cluster)
+            cluster.control_links[parents(cluster)[rank]].silence()
+            await assert_change_in_force(cluster, 2)
 
     run(scenario)
 
 
 @pytest.mark.parametrize("rank", [0, 1, 2])
-def test_a_parent_that_leaves(rank):
-    """Its streams stayed open and said nothing until its process and its machine were gone."""
+def test_a_change_arrives_although_a_parent_stops(rank):
+    """Guards against a stopping parent that keeps its streams open without sending updates."""
 
     async def scenario():
-        async with silent_fleet() as one:
-            await settled(one)
-            await one.stop(parents(one)[rank])
-            await change_arrives(one, 2)
+        async with fleet_with_links() as cluster:
+            await wait_until_connected(cluster)
+            await cluster.stop(parents(cluster)[rank])
+            await assert_change_in_force(cluster, 2)
 
     run(scenario)
 
 
-@pytest.mark.parametrize("place", [0, 1])
-def test_a_reader_whose_connections_to_the_platform_go_silent(place):
+@pytest.mark.parametrize("position", [0, 1])
+def test_changes_arrive_although_a_watchers_platform_connections_fall_silent(position):
     async def scenario():
-        async with silent_fleet() as one:
-            await settled(one)
-            one.links[order("one")[place]].silence()
-            await change_arrives(one, 2)
-            await change_arrives(one, 3)
+        async with fleet_with_links() as cluster:
+            await wait_until_connected(cluster)
+            cluster.links[zone_order("one")[position]].silence()
+            await assert_change_in_force(cluster, 2)
+            await assert_change_in_force(cluster, 3)
 
     run(scenario)
 
 
-@pytest.mark.parametrize("before", [0.0, 1.5, 3.0])
-def test_all_connections_go_silent(before):
-    """`before`: seconds from the silence to the change."""
+@pytest.mark.parametrize("delay", [0.0, 1.5, 3.0])
+def test_a_change_arrives_although_all_connections_fall_silent(delay):
+    """`delay` is the time in seconds from the silence to the change."""
 
     async def scenario():
-        async with silent_fleet() as one:
-            await settled(one)
-            for link in (*one.links.values(), *one.control_links.values()):
+        async with fleet_with_links() as cluster:
+            await wait_until_connected(cluster)
+            for link in (*cluster.links.values(), *cluster.control_links.values()):
                 link.silence()
-            await asyncio.sleep(before)
-            await change_arrives(one, 2, max(IN_TOUCH_SECONDS - before, IN_FORCE_SECONDS))
+            await asyncio.sleep(delay)
+            await assert_change_in_force(
+                cluster, 2, max(RECONNECT_SECONDS - delay, IN_FORCE_SECONDS)
+            )
 
     run(scenario)
 
 
-def test_the_only_reader_whose_watch_goes_silent_has_a_long_configuration():
+def test_a_large_change_arrives_at_a_single_watcher_whose_watch_falls_silent():
     async def scenario():
-        links = {"a": LINK * 10}  # the configuration takes 0.13 s
-        async with fleet("a", watch="20s", watch_check="1s", link_bytes=links) as one:
-            one.store.write("config", "main", configuration(2, more=LONG))
-            await one.ready(2)
+        links = {"a": LINK_BYTES_PER_SECOND * 10}  # the configuration takes 0.13 s
+        async with fleet("a", watch="20s", watch_check="1s", link_bytes=links) as cluster:
+            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+            await cluster.ready(2)
             await asyncio.sleep(1.5)
-            one.links["a"].silence()
-            await change_arrives(one, 3, IN_TOUCH_SECONDS, more=LONG)
+            cluster.links["a"].silence()
+            await assert_change_in_force(cluster, 3, RECONNECT_SECONDS, more=EXTRA_ROUTES)
 
     run(scenario)
 
 
-def test_a_daemon_that_becomes_a_reader_again_reads_what_it_has_from_its_parent():
-    """It began its watch where its own last read was, and read all changes since."""
+def test_a_daemon_that_becomes_a_watcher_again_does_not_read_what_its_parent_sent():
+    """Guards against a watch that starts at the daemon's own last read."""
 
     async def scenario():
-        _, second, third = order("one")[:3]
-        links = dict.fromkeys(NAMES, inf) | {third: LINK}
-        async with silent_fleet(link_bytes=links) as one:
-            await settled(one)
-            one.store.write("config", "main", configuration(2, more=LONG))
-            await one.ready(2)
-            read = one.links[third].carried
-            server = one.backends[second].server_id
-            assert await one.beat(second, 1, "draining", server) == 200
-            await one.stop(second)
-            reader = one.daemons[third]
-
-            async def watches():
-                return reader.feed.is_watcher and one.store.waiting["config"] >= 2 * WATCHERS
-
-            await eventually(watches)
-            await change_arrives(one, 3, prefix="/other/", more=LONG)
+        _, second, third = zone_order("one")[:3]
+        links = dict.fromkeys(NAMES, inf) | {third: LINK_BYTES_PER_SECOND}
+        async with fleet_with_links(link_bytes=links) as cluster:
+            await wait_until_connected(cluster)
+            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+            await cluster.ready(2)
+            carried_before = cluster.links[third].carried
+            server = cluster.backends[second].server_id
+            assert await cluster.beat(second, 1, "draining", server) == 200
+            await cluster.stop(second)
+            new_watcher = cluster.daemons[third]
+
+            async def is_watching():
+                return (
+                    new_watcher.feed.is_watcher
+                    and cluster.store.waiting["config"] >= 2 * WATCHERS
+                )
+
+            await eventually(is_watching)
+            await assert_change_in_force(cluster, 3, prefix="/other/", more=EXTRA_ROUTES)
             await asyncio.sleep(IN_FORCE_SECONDS)
-            assert one.links[third].carried - read < 1.5 * SIZE  # the new version, once
+            # The daemon reads only the new version, and once.
+            assert cluster.links[third].carried - carried_before < 1.5 * CONFIGURATION_BYTES
 
     run(scenario)
 
 
-class ParentOfTheVersionBefore:
-    """Sends an update each so many seconds, and does not say so."""
+class PreviousVersionParent:
+    """A parent of the previous version, which does not send its heartbeat interval."""
 
-    def __init__(self, seconds):
-        self._seconds = seconds
+    def __init__(self, heartbeat_seconds):
+        self._heartbeat_seconds = heartbeat_seconds
 
     def __mapping__(self):
         stream = grpclib.const.Cardinality.UNARY_STREAM
@@ -192,12 +195,12 @@
         for number in itertools.count(1):
             for chunk in split_message(msgspec.msgpack.encode(Update(float(number)))):
                 await stream.send_message(chunk)
-            await asyncio.sleep(self._seconds)
+            await asyncio.sleep(self._heartbeat_seconds)
 
 
-def test_a_parent_of_the_version_before_is_not_left_between_its_heartbeats():
+def test_a_parent_of_the_previous_version_does_not_time_out_between_its_heartbeats():
     async def scenario():
-        server = Server([ParentOfTheVersionBefore(1.6)], codec=StructCodec())
+        server = Server([PreviousVersionParent(1.6)], codec=StructCodec())
         await server.start(HOST, 0)
         port = server._server.sockets[0].getsockname()[1]
         parent = Instance("parent", "papers", "one", HOST, 1, 2, port)
--- a/test/test_silent_watch.py
+++ b/test/test_silent_watch.py
@@ -1,7 +1,6 @@
-"""A watch that says nothing more, while all other calls to the platform are answered.
+"""A watch falls silent while the platform answers all other calls.
 
-What happened: a reader heard of a change 16 s late, and meanwhile told its followers that the
-platform had just confirmed its version: a read of its own list entry counted as confirmation.
+Guards against a late change, and against confirming the head by a call that does not read it.
 """
 
 import asyncio
@@ -24,23 +23,23 @@
 from standins.cluster import eventually
 from test.helper import run
 
-IN_FORCE_SECONDS = 2.0  # from the write, beside the time that a read takes
-WATCH = 20.0
+IN_FORCE_SECONDS = 2.0  # from the write, without the duration of a read
+WATCH_SECONDS = 20.0
 
 
-class DeafStore:
-    """A platform whose watches of the head never answer, but for those that do not wait.
+class SilentWatchStore:
+    """A platform that answers no watch of the head except one with a wait of 0.
 
-    With `has_head` off no call that tells the head is answered, and all others are. Where a
-    read takes long, the configuration is long.
+    If `answers_head` is False, it answers no call that returns the head, but all others. If
+    `read_seconds` is above 0.1, the configuration is large.
     """
 
     def __init__(self, read_seconds):
         self.calls = 0
         self.version = 1
-        self.has_head = True
+        self.answers_head = True
         self._read_seconds = read_seconds
-        self._is_long = read_seconds > 0.1
+        self._is_large = read_seconds > 0.1
         self._bundle = self._make_bundle()
 
     def change(self):
@@ -48,7 +47,7 @@
         self._bundle = self._make_bundle()
 
     def _make_bundle(self):
-        count = 1400 if self._is_long else 1
+        count = 1400 if self._is_large else 1
         routes = (Route(f"{n:04}", f"{n}.example", "/", (Split("a"),)) for n in range(count))
         return Bundle(self.version, routes=tuple(routes))
 
@@ -74,14 +73,14 @@
         if wait:
             await asyncio.sleep(wait)
             return Err(Unavailable("silent"))
-        if not self.has_head:
+        if not self.answers_head:
             return Err(Unavailable("silent"))
         changed = (self._head(),) if self.version > since else ()
         return Ok(Listing(self.version, changed))
 
     async def _read_head(self):
         await asyncio.sleep(self._read_seconds)
-        return Ok(self._head()) if self.has_head else Err(Unavailable("silent"))
+        return Ok(self._head()) if self.answers_head else Err(Unavailable("silent"))
 
     def _head(self):
         return self._stored(HEAD_KIND, "head", Head(self.version, self._bundle.digest()))
@@ -90,49 +89,51 @@
         return StoredObject(kind, name, self.version, msgspec.Raw(msgspec.json.encode(value)))
 
 
-def feed_on(store):
-    pace = FeedSettings(watch=WATCH, watch_check=1.0, list_watch=WATCH)
-    around = FeedDependencies(store, PeerTls(), Random(1), time.time)
-    return Feed(LocalDaemon("a", "one", pace), around, TrustedPlatformVerifier(), Bus())
+def make_feed(store):
+    feed_settings = FeedSettings(watch=WATCH_SECONDS, watch_check=1.0, list_watch=WATCH_SECONDS)
+    dependencies = FeedDependencies(store, PeerTls(), Random(1), time.time)
+    return Feed(
+        LocalDaemon("a", "one", feed_settings), dependencies, TrustedPlatformVerifier(), Bus()
+    )
 
 
-async def in_force(feed, version):
-    async def taken():
+async def wait_until_in_force(feed, version):
+    async def is_in_force():
         return feed.cache_writer.version == version
 
-    await eventually(taken)
+    await eventually(is_in_force)
 
 
 @pytest.mark.parametrize("read_seconds", [0.01, 0.4, 1.1])
-def test_a_change_behind_a_silent_watch(read_seconds):
-    """With configurations that take long to read nothing read the head for 20 reads' time."""
+def test_a_change_arrives_although_the_watch_is_silent(read_seconds):
+    """Guards against a head that is read too rarely if reads take long."""
 
     async def scenario():
-        store = DeafStore(read_seconds)
-        feed = feed_on(store)
-        running = asyncio.create_task(feed.run())
-        await in_force(feed, 1)
+        store = SilentWatchStore(read_seconds)
+        feed = make_feed(store)
+        feed_task = asyncio.create_task(feed.run())
+        await wait_until_in_force(feed, 1)
         await asyncio.sleep(2.0 + read_seconds)
         for version in (2, 3):
             store.change()
             async with asyncio.timeout(IN_FORCE_SECONDS + read_seconds):
-                await in_force(feed, version)
-        running.cancel()
+                await wait_until_in_force(feed, version)
+        feed_task.cancel()
 
     run(scenario)
 
 
-def test_what_does_not_read_the_head_does_not_confirm_it():
+def test_a_call_that_does_not_read_the_head_does_not_confirm_it():
     async def scenario():
-        store = DeafStore(0.4)
-        feed = feed_on(store)
-        running = asyncio.create_task(feed.run())
-        await in_force(feed, 1)
-        store.has_head = False
+        store = SilentWatchStore(0.4)
+        feed = make_feed(store)
+        feed_task = asyncio.create_task(feed.run())
+        await wait_until_in_force(feed, 1)
+        store.answers_head = False
         await asyncio.sleep(1.0)
-        confirmed = feed.cache.as_of
+        as_of_before = feed.cache.as_of
         await asyncio.sleep(4.0)
-        assert feed.cache.as_of == confirmed
-        running.cancel()
+        assert feed.cache.as_of == as_of_before
+        feed_task.cancel()
 
     run(scenario)
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -1,22 +1,8 @@
-"""Configurations that are long for the links of those that read them.
+"""Configurations that take long to read on slow links.
 
-What happened: the operator added 1,400 routes three times. The third change, 700 kB in all, was
-acknowledged and due, and two of three zones still handled requests by a version before it.
-
-Sequence: the daemons that read the platform for those two zones had links of 650 kB a second.
-Each read of the configuration was given up after 0.6 s, with 340 kB of it in, and begun anew
-from the first byte; the check of the watch did so every two seconds, on the same link. A watch
-whose answer came too late behind these went on from a version that the platform had forgotten,
-and from there on the daemon read the whole, in vain, without a pause. The list, whose answers
-are short, stayed up to date on the same machines, so followers stayed with such a parent.
-
-Cause: the limit on a call to the platform's store was on the whole answer, whatever its size. A
-limit that means "the other end is gone" must be on the time without a byte.
-
-What settled it: `platform-unavailable detail="GET .../config/main?stale=1: TimeoutError after
-0.60 s and 343989 bytes"` again and again at these readers, and none at the one reader with a
-wide link; none for the list; by the store's own count every call answered; and 400 to 650 kB a
-second into each of those readers with nothing coming into force.
+Guards against a limit on the time of a whole response. It must be a limit on the time without a
+byte: otherwise a daemon on a slow link aborts and restarts each read of a large configuration,
+and handles requests by an old version.
 """
 
 import asyncio
@@ -48,68 +34,71 @@
 from test.helper import run
 from test.routed_fleet import configuration, fleet
 
-ROUTES = 1400
-SIZE = 260_000  # bytes, of a configuration with so many
-LINK = 200_000  # bytes a second: the configuration takes 1.3 s
-IN_FORCE_SECONDS = 4.0  # from the write; the link takes 1.3 of them
+EXTRA_ROUTES = 1400
+CONFIGURATION_BYTES = 260_000  # size of a configuration with EXTRA_ROUTES
+LINK_BYTES_PER_SECOND = 200_000  # the configuration takes 1.3 s
+IN_FORCE_SECONDS = 4.0  # from the write, including the transfer
 
 
-def test_a_reader_whose_watch_was_forgotten_reads_a_configuration_that_is_long_for_its_link():
+def test_a_watcher_reads_a_large_configuration_on_a_slow_link_after_its_watch_expired():
     async def scenario():
         names = ("a", "b", "c", "d")
-        links = dict.fromkeys(names, LINK)
-        async with fleet(*names, watch="20s", watch_check="500ms", link_bytes=links) as one:
-            one.store.write("config", "main", configuration(2, more=ROUTES))
-            one.store.forget()
+        links = dict.fromkeys(names, LINK_BYTES_PER_SECOND)
+        async with fleet(*names, watch="20s", watch_check="500ms", link_bytes=links) as cluster:
+            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+            cluster.store.forget()
             async with asyncio.timeout(IN_FORCE_SECONDS):
-                await one.ready(2)
+                await cluster.ready(2)
 
     run(scenario)
 
 
-def test_a_daemon_that_starts_reads_a_configuration_that_is_long_for_its_link():
+def test_a_starting_daemon_reads_a_large_configuration_on_a_slow_link():
     async def scenario():
-        async with fleet("a", link_bytes={"a": LINK}, configured=False) as one:
-            one.store.write("config", "main", configuration(2, more=ROUTES))
+        async with fleet(
+            "a", link_bytes={"a": LINK_BYTES_PER_SECOND}, configured=False
+        ) as cluster:
+            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
             async with asyncio.timeout(IN_FORCE_SECONDS):
-                await one.ready(2)
+                await cluster.ready(2)
 
     run(scenario)
 
 
-def test_a_configuration_at_rest_is_not_read_again_and_again():
-    """The check of a watch asks whether the head has changed, which needs few bytes."""
+def test_an_unchanged_configuration_is_not_read_repeatedly():
+    """The watch check only asks whether the head has changed, which takes few bytes."""
 
     async def scenario():
-        links = {"a": 10 * LINK}  # the configuration takes 0.13 s
-        async with fleet("a", watch="20s", watch_check="50ms", link_bytes=links) as one:
-            one.store.write("config", "main", configuration(2, more=ROUTES))
-            await one.ready(2)
-            carried = one.links["a"].carried
-            calls = len(one.store.calls)
+        links = {"a": 10 * LINK_BYTES_PER_SECOND}  # the configuration takes 0.13 s
+        async with fleet("a", watch="20s", watch_check="50ms", link_bytes=links) as cluster:
+            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+            await cluster.ready(2)
+            carried_before = cluster.links["a"].carried
+            calls = len(cluster.store.calls)
 
-            async def checked():
-                return len(one.store.calls) >= calls + 40
+            async def has_checked():
+                return len(cluster.store.calls) >= calls + 40
 
-            await eventually(checked)
-            read = one.links["a"].carried - carried
-            assert read < 3 * SIZE  # one that was under way, and one in 2.6 s
+            await eventually(has_checked)
+            read_bytes = cluster.links["a"].carried - carried_before
+            assert read_bytes < 3 * CONFIGURATION_BYTES  # one read in flight and one refresh
 
     run(scenario)
 
 
-def test_an_object_that_is_long_for_its_link_is_read_from_an_installation_of_our_own():
-    """The client of wheatslip's own object API has the same bound on silence, not on size."""
+def test_the_object_client_reads_a_large_object_on_a_slow_link():
+    """The client of wheatslip's own object API also limits the time without a byte only."""
 
     async def scenario():
         runner, port, _ = await serve(HOST, 0)
-        link = NarrowLink(HOST, port, LINK)
+        link = NarrowLink(HOST, port, LINK_BYTES_PER_SECOND)
         await link.open()
-        near = ObjectClient(f"{HOST}:{port}", Random(1))
-        far = ObjectClient(f"{HOST}:{link.port}", Random(1))
-        (await near.put("bundle", "long", "x" * 2 * SIZE, 0)).unwrap()  # takes 2.6 s
-        assert (await far.get("bundle", "long")).unwrap() is not None
-        for client in (near, far):
+        direct = ObjectClient(f"{HOST}:{port}", Random(1))
+        slow = ObjectClient(f"{HOST}:{link.port}", Random(1))
+        (await direct.put("bundle", "long", "x" * 2 * CONFIGURATION_BYTES, 0)).unwrap()
+        # The read takes 2.6 s.
+        assert (await slow.get("bundle", "long")).unwrap() is not None
+        for client in (direct, slow):
             await client.close()
         await link.close()
         await runner.cleanup()
@@ -117,8 +106,8 @@
     run(scenario)
 
 
-def test_an_update_that_is_long_for_its_link_is_not_taken_for_silence(monkeypatch):
-    """It takes twice as long as a parent may be silent, also packed."""
+def test_a_large_update_on_a_slow_link_does_not_time_out(monkeypatch):
+    """Even compressed, its transfer takes more than twice the silence timeout."""
     monkeypatch.setattr(relay, "SILENCE_TIMEOUT_SECONDS", 0.4)
 
     async def scenario():
@@ -129,48 +118,48 @@
             )
             for number in range(5000)
         )
-        long = Bundle(2, routes=routes)
+        large_bundle = Bundle(2, routes=routes)
         cache = FeedCache()
-        signed = SignedBundle(long.canonical().decode())
-        cache.store_bundle(Head(2, long.digest()), signed, long)
+        signed = SignedBundle(large_bundle.canonical().decode())
+        cache.store_bundle(Head(2, large_bundle.digest()), signed, large_bundle)
         server = relay.RelayServer(cache, PeerTls())
         await server.listen(HOST, 0)
-        link = NarrowLink(HOST, server.port, LINK)
+        link = NarrowLink(HOST, server.port, LINK_BYTES_PER_SECOND)
         await link.open()
         parent = Instance("parent", "papers", "one", HOST, 1, 2, link.port)
         updates = relay.follow_parent(parent, Cursor("child"), PeerTls())
         async with aclosing(updates):
             assert (await anext(updates)).signed == signed
-        assert link.carried / LINK > 2 * relay.SILENCE_TIMEOUT_SECONDS
+        assert link.carried / LINK_BYTES_PER_SECOND > 2 * relay.SILENCE_TIMEOUT_SECONDS
         await link.close()
         await server.stop()
 
     run(scenario)
 
 
-class CountingStore:
-    """A platform that is there and knows of nothing; notes what it is asked."""
+class EmptyStore:
+    """A platform without objects that records the names that are requested."""
 
     def __init__(self):
-        self.asked = []
+        self.requested = []
 
     async def get(self, kind, name, *, stale_ok=False):
-        self.asked.append(name)
+        self.requested.append(name)
         return Ok(None)
 
 
 @pytest.mark.parametrize(("hinted", "reads"), [(2, []), (3, [HEAD_NAME])])
-def test_a_hint_leads_to_the_daemon_that_gave_it_and_then_to_the_platform(hinted, reads):
-    """44 daemons read 235 kB from the platform in one second when a request told them of it."""
+def test_a_version_hint_is_followed_at_its_sender_before_the_platform(hinted, reads):
+    """Guards against all daemons reading the platform at once after a hint in a request."""
 
     async def scenario():
         bundle = Bundle(2)
         cache = FeedCache()
         signed = SignedBundle(bundle.canonical().decode())
         cache.store_bundle(Head(2, bundle.digest()), signed, bundle)
-        giver = relay.RelayServer(cache, PeerTls())
-        await giver.listen(HOST, 0)
-        store = CountingStore()
+        hinting_relay = relay.RelayServer(cache, PeerTls())
+        await hinting_relay.listen(HOST, 0)
+        store = EmptyStore()
         feed = Feed(
             LocalDaemon("b", "one", FeedSettings()),
             FeedDependencies(store, PeerTls(), Random(1), time.time),
@@ -179,48 +168,52 @@
         )
         feed.cache.apply_list(
             1,
-            [ListChange(1, "a", Instance("a", "papers", "one", HOST, 1, 2, giver.port))],
+            [
+                ListChange(
+                    1, "a", Instance("a", "papers", "one", HOST, 1, 2, hinting_relay.port)
+                )
+            ],
             whole=True,
         )
         following = asyncio.create_task(feed.hint_handler.run())
         feed.handle_version_hint(hinted, HOST)
 
-        async def followed():
-            return feed.cache.head is not None and store.asked == reads
+        async def is_followed():
+            return feed.cache.head is not None and store.requested == reads
 
-        await eventually(followed)
+        await eventually(is_followed)
         following.cancel()
-        await giver.stop()
+        await hinting_relay.stop()
 
     run(scenario)
 
 
-def test_what_had_come_of_an_answer_is_told_when_it_is_given_up():
+def test_the_error_of_an_aborted_read_names_the_received_bytes():
     async def scenario():
         store = StoreStandIn()
         await store.server.listen(HOST, 0)
-        store.write("config", "main", configuration(more=ROUTES))
-        link = NarrowLink(HOST, store.server.port, LINK)
+        store.write("config", "main", configuration(more=EXTRA_ROUTES))
+        link = NarrowLink(HOST, store.server.port, LINK_BYTES_PER_SECOND)
         await link.open()
         client = FleetStore(f"{HOST}:{link.port}")
-        asked = asyncio.create_task(client.get(HEAD_KIND, HEAD_NAME))
+        read_task = asyncio.create_task(client.get(HEAD_KIND, HEAD_NAME))
 
-        async def some_came():
+        async def has_partial_response():
             return link.carried > 0
 
-        await eventually(some_came)
+        await eventually(has_partial_response)
         await link.close()
-        trouble = (await asked).unwrap_err()
-        assert trouble.call == "GET /wheatslip/objects/config/main"
-        came = int(trouble.detail.split()[-2])
-        assert 0 < came < 200_000
+        error = (await read_task).unwrap_err()
+        assert error.call == "GET /wheatslip/objects/config/main"
+        received_bytes = int(error.detail.split()[-2])
+        assert 0 < received_bytes < 200_000
         await client.close()
         await store.server.stop(0.0)
 
     run(scenario)
 
 
-def test_losing_and_finding_the_way_to_the_head_is_told_once():
+def test_losing_and_regaining_the_head_is_reported_once():
     age = HeadAge(lost_after=5.0)
     assert [age.check_age(seconds) for seconds in (0.0, 4.9, 5.1, 7.0, 0.1, 0.2)] == [
         None,
@@ -232,24 +225,24 @@
     ]
 
 
-def test_each_daemon_tells_how_old_its_word_of_the_head_is():
+def test_each_daemon_reports_the_age_of_its_head():
     async def scenario():
-        async with fleet("a", "b", "c", watch="20s", watch_check="100ms") as one:
+        async with fleet("a", "b", "c", watch="20s", watch_check="100ms") as cluster:
 
-            async def told_everywhere():
-                """Young everywhere, and each follower names whom it has it from.
+            async def is_reported():
+                """Whether each daemon reports a low age, and each follower its parent.
 
-                One that becomes a follower has its age from its own reads before, and a parent
-                a moment later.
+                A daemon that becomes a follower has an age from its earlier reads, and a parent
+                shortly after.
                 """
-                states = [daemon.status() for daemon in one.daemons.values()]
+                states = [daemon.status() for daemon in cluster.daemons.values()]
                 return all(
                     state.head_age is not None
                     and state.head_age < 3.0
-                    and (state.watches or state.parent in one.daemons)
+                    and (state.watches or state.parent in cluster.daemons)
                     for state in states
                 )
 
-            await eventually(told_everywhere)
+            await eventually(is_reported)
 
     run(scenario)
