--- a/test/test_zone_commands.py
+++ b/test/test_zone_commands.py
@@ -1,4 +1,4 @@
-"""The operators' `wheatslip zone …` against the platform's stand-in, and who is believed."""
+"""`wheatslip zone` commands against the platform's stand-in, and the checks of signatures."""
 
 import asyncio
 import json
@@ -26,18 +26,18 @@
     return path
 
 
-async def knows(installation, *zones):
-    async def all_know():
+async def wait_until_drained(installation, *zones):
+    async def is_known():
         return all(
             node.daemon.view.drains is not None
             and node.daemon.view.drains.zones == frozenset(zones)
             for node in installation.nodes.values()
         )
 
-    await eventually(all_know)
+    await eventually(is_known)
 
 
-def test_one_operator_empties_a_zone_lists_it_and_takes_it_back(tmp_path, capsys):
+def test_an_operator_drains_lists_and_restores_a_zone(tmp_path, capsys):
     async def main():
         async with Installation(tmp_path) as installation:
             await installation.add("papers-1")
@@ -45,30 +45,30 @@
             await installation.ready()
             path = settings_file(installation, tmp_path)
 
-            async def command(one):
-                code = await asyncio.to_thread(one)
+            async def run_command(command):
+                code = await asyncio.to_thread(command)
                 return code, capsys.readouterr()
 
-            code, _ = await command(DrainZone("one", path))
+            code, _ = await run_command(DrainZone("one", path))
             assert code is ExitCode.GOOD
-            await knows(installation, "one")
-            code, out = await command(ListZones(path, Format.JSON))
+            await wait_until_drained(installation, "one")
+            code, out = await run_command(ListZones(path, Format.JSON))
             (row,) = json.loads(out.out)
             assert (row["zone"], row["asked_by"], row["instances"]) == ("one", OPERATORS[0], 1)
             assert row["since"].startswith("20")
-            # Asked for again it stays as it was.
-            assert (await command(DrainZone("one", path)))[0] is ExitCode.GOOD
-            assert (await command(RestoreZone("one", path)))[0] is ExitCode.GOOD
-            await knows(installation)
-            code, out = await command(RestoreZone("one", path))
+            # A second drain of the same zone changes nothing.
+            assert (await run_command(DrainZone("one", path)))[0] is ExitCode.GOOD
+            assert (await run_command(RestoreZone("one", path)))[0] is ExitCode.GOOD
+            await wait_until_drained(installation)
+            code, out = await run_command(RestoreZone("one", path))
             assert code is ExitCode.REFUSED and "not emptied" in out.err
-            code, out = await command(DrainZone("eon", path))
+            code, out = await run_command(DrainZone("eon", path))
             assert code is ExitCode.BAD_USAGE and "zones: one" in out.err
 
     run(main)
 
 
-def test_no_zone_is_emptied_without_an_operators_signature(tmp_path):
+def test_a_zone_is_drained_only_with_an_operators_signature(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
             await installation.add("papers-1")
@@ -76,29 +76,29 @@
             await installation.ready()
             requests = ZoneDrainRequests(installation.client)
             key = load_private_key(tmp_path / f"{OPERATORS[0]}.key")
-            good = sign_drain(ZoneDrain("one", OPERATORS[0], 5.0), key)
+            valid = sign_drain(ZoneDrain("one", OPERATORS[0], 5.0), key)
             forged = (
                 ZoneDrain("one", OPERATORS[0], 5.0),
-                ZoneDrain("one", OPERATORS[1], 5.0, good.signature),
-                ZoneDrain("one", OPERATORS[0], 6.0, good.signature),
-                ZoneDrain("one", "nobody", 5.0, good.signature),
+                ZoneDrain("one", OPERATORS[1], 5.0, valid.signature),
+                ZoneDrain("one", OPERATORS[0], 6.0, valid.signature),
+                ZoneDrain("one", "nobody", 5.0, valid.signature),
             )
-            for bad in forged:
-                (await requests.drain(bad)).unwrap()
-                # A signed one of another zone shows that the forged one was seen.
+            for drain in forged:
+                (await requests.drain(drain)).unwrap()
+                # A later valid drain is in force once all daemons have read the forged one.
                 (await requests.drain(sign_drain(ZoneDrain("two", OPERATORS[0]), key))).unwrap()
-                await knows(installation, "two")
+                await wait_until_drained(installation, "two")
                 assert (await requests.restore("one")).unwrap()
                 assert (await requests.restore("two")).unwrap()
-                await knows(installation)
-            (await requests.drain(good)).unwrap()
-            await knows(installation, "one")
+                await wait_until_drained(installation)
+            (await requests.drain(valid)).unwrap()
+            await wait_until_drained(installation, "one")
 
     run(main)
 
 
-def test_a_key_runs_once_though_the_zone_of_its_owner_is_emptied_between_its_sends(tmp_path):
-    """Sent, and sent again while the owner's zone is emptied: no other may run it."""
+def test_a_key_runs_once_if_its_owners_zone_is_drained_before_a_retry(tmp_path):
+    """While the zone of the owner is drained, no other daemon may run a retry."""
 
     async def main():
         async with Installation(tmp_path) as installation:
@@ -117,13 +117,16 @@
                 ]
 
             first = await send_all()
-            assert {one.reported for one in first} == {Reported.ANSWERED}
+            assert {request.reported for request in first} == {Reported.ANSWERED}
             key = load_private_key(tmp_path / f"{OPERATORS[0]}.key")
             drain = sign_drain(ZoneDrain("two", OPERATORS[0], 5.0), key)
             (await ZoneDrainRequests(installation.client).drain(drain)).unwrap()
-            await knows(installation, "two")
-            again = await send_all()
-            assert {one.reported for one in again} <= {Reported.ANSWERED, Reported.NOT_RUN}
+            await wait_until_drained(installation, "two")
+            retried = await send_all()
+            assert {request.reported for request in retried} <= {
+                Reported.ANSWERED,
+                Reported.NOT_RUN,
+            }
             runs = Counter(
                 run.key for node in installation.nodes.values() for run in runs_of(node)
             )
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -1,4 +1,4 @@
-"""Zones that operators empty: nothing new reaches their servers, and all is back afterwards."""
+"""Zone drains: no new request reaches the servers of a drained zone until it is restored."""
 
 import asyncio
 import json
@@ -24,269 +24,271 @@
 from test.routed_fleet import configuration, fleet
 from test.test_cold_servers import SETTINGS, press
 
-STORED = KINDS[ZONE_DRAIN_KIND]
-BOUND = 5.0  # seconds from the store's acknowledgement; the users' word
+STORED_KIND = KINDS[ZONE_DRAIN_KIND]
+IN_FORCE_SECONDS = 5.0  # from the store's response; required by the users' platform
 ZONES = {"a": "one", "b": "one", "c": "two", "d": "two"}
-TROUBLES = (Fault.BUSY, Fault.RESET, Fault.SILENT)
+STORE_FAULTS = (Fault.BUSY, Fault.RESET, Fault.SILENT)
 
 
-def empty(one, zone):
-    one.store.write(STORED, zone, {})
+def drain_zone(cluster, zone):
+    cluster.store.write(STORED_KIND, zone, {})
 
 
-def restore(one, zone):
-    one.store.remove(STORED, zone)
+def restore_zone(cluster, zone):
+    cluster.store.remove(STORED_KIND, zone)
 
 
-async def in_force(one, *zones, names=None):
-    """Wait until all daemons, or those named, know that just these zones are emptied."""
+async def wait_until_in_force(cluster, *zones, names=None):
+    """Wait until all daemons, or those in `names`, know exactly these drained zones."""
 
-    async def all_know():
+    async def is_known():
         return all(
-            one.daemons[name].view.drains is not None
-            and one.daemons[name].view.drains.zones == frozenset(zones)
-            for name in names or one.daemons
+            cluster.daemons[name].view.drains is not None
+            and cluster.daemons[name].view.drains.zones == frozenset(zones)
+            for name in names or cluster.daemons
         )
 
-    async with asyncio.timeout(BOUND):
-        await eventually(all_know)
+    async with asyncio.timeout(IN_FORCE_SECONDS):
+        await eventually(is_known)
 
 
-def received(one, zone):
-    return sum(len(one.backends[n].received) for n, z in ZONES.items() if z == zone)
+def received_count(cluster, zone):
+    return sum(len(cluster.backends[n].received) for n, z in ZONES.items() if z == zone)
 
 
 @asynccontextmanager
-async def two_zones(**options):
-    async with fleet(*ZONES, zones=ZONES, **options) as one:
-        yield one
+async def two_zone_fleet(**options):
+    async with fleet(*ZONES, zones=ZONES, **options) as cluster:
+        yield cluster
 
 
-def test_nothing_reaches_an_emptied_zone_and_its_callers_are_served_elsewhere():
+def test_requests_of_a_drained_zone_are_served_in_another_zone():
     async def scenario():
-        async with two_zones() as one:
-            empty(one, "one")
-            await in_force(one, "one")
-            before = received(one, "one")
+        async with two_zone_fleet() as cluster:
+            drain_zone(cluster, "one")
+            await wait_until_in_force(cluster, "one")
+            before = received_count(cluster, "one")
             for number in range(20):
-                status, body, _ = await one.ask("abcd"[number % 4])
+                status, body, _ = await cluster.ask("abcd"[number % 4])
                 assert status == 200 and body in (b"i-c", b"i-d")
-            assert received(one, "one") == before
-            assert all(daemon.status().ready for daemon in one.daemons.values())
-            restore(one, "one")
-            await in_force(one)
-            bodies = {(await one.ask("a"))[1] for _ in range(40)}
+            assert received_count(cluster, "one") == before
+            assert all(daemon.status().ready for daemon in cluster.daemons.values())
+            restore_zone(cluster, "one")
+            await wait_until_in_force(cluster)
+            bodies = {(await cluster.ask("a"))[1] for _ in range(40)}
             assert bodies & {b"i-a", b"i-b"}
 
     run(scenario)
 
 
-def test_the_gate_closes_by_itself_when_an_entry_has_not_heard():
+def test_the_gate_refuses_requests_of_an_entry_that_does_not_know_the_drain():
     async def scenario():
-        async with two_zones() as one:
-            empty(one, "one")
-            await in_force(one, "one")
-            # One that knows nothing of it, whatever it is told.
-            deaf = one.daemons["c"]
-            deaf.view.drains = ZoneDrains(1)
-            before = received(one, "one")
-            statuses = [(await one.ask("c"))[0] for _ in range(20)]
-            assert set(statuses) == {200} and received(one, "one") == before
+        async with two_zone_fleet() as cluster:
+            drain_zone(cluster, "one")
+            await wait_until_in_force(cluster, "one")
+            # This daemon does not know the drain.
+            uninformed = cluster.daemons["c"]
+            uninformed.view.drains = ZoneDrains(1)
+            before = received_count(cluster, "one")
+            statuses = [(await cluster.ask("c"))[0] for _ in range(20)]
+            assert set(statuses) == {200} and received_count(cluster, "one") == before
 
     run(scenario)
 
 
-def test_what_runs_there_ends_and_what_waits_goes_elsewhere_without_the_budget():
+def test_a_drain_lets_running_requests_end_and_forwards_queued_ones():
     async def scenario():
-        async with two_zones() as one:
-            for backend in one.backends.values():
+        async with two_zone_fleet() as cluster:
+            for backend in cluster.backends.values():
                 backend.service = 0.4
-            asked = [asyncio.create_task(one.ask("a", "/submit/1", "POST")) for _ in range(20)]
+            requests = [
+                asyncio.create_task(cluster.ask("a", "/submit/1", "POST")) for _ in range(20)
+            ]
             await asyncio.sleep(0.1)
-            empty(one, "one")
-            await in_force(one, "one")
-            answers = [await answer for answer in asked]
+            drain_zone(cluster, "one")
+            await wait_until_in_force(cluster, "one")
+            answers = [await request for request in requests]
             assert {status for status, _, _ in answers} <= {200, 503}
-            ran = [request for backend in one.backends.values() for request in backend.ran]
-            assert len(ran) == [status for status, _, _ in answers].count(200)
+            run_requests = [r for backend in cluster.backends.values() for r in backend.ran]
+            assert len(run_requests) == [status for status, _, _ in answers].count(200)
 
     run(scenario)
 
 
-def test_with_all_zones_emptied_callers_are_refused_at_once_and_told_when_to_return():
+def test_requests_are_refused_at_once_with_a_retry_delay_when_all_zones_are_drained():
     async def scenario():
-        async with two_zones() as one:
-            empty(one, "one")
-            empty(one, "two")
-            await in_force(one, "one", "two")
-            before = received(one, "one") + received(one, "two")
+        async with two_zone_fleet() as cluster:
+            drain_zone(cluster, "one")
+            drain_zone(cluster, "two")
+            await wait_until_in_force(cluster, "one", "two")
+            before = received_count(cluster, "one") + received_count(cluster, "two")
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             for name in ZONES:
-                status, _, headers = await one.ask(name)
+                status, _, headers = await cluster.ask(name)
                 assert status == 503 and float(headers["Retry-After"]) > 0
-            assert loop.time() - began < 1.0
-            assert received(one, "one") + received(one, "two") == before
-            restore(one, "two")
-            await in_force(one, "one")
-            assert (await one.ask("a"))[0] == 200
+            assert loop.time() - started_at < 1.0
+            assert received_count(cluster, "one") + received_count(cluster, "two") == before
+            restore_zone(cluster, "two")
+            await wait_until_in_force(cluster, "one")
+            assert (await cluster.ask("a"))[0] == 200
 
     run(scenario)
 
 
-def test_taken_back_and_emptied_again_before_it_was_heard():
+def test_rapid_drains_and_restores_end_in_the_last_state():
     async def scenario():
-        async with two_zones() as one:
+        async with two_zone_fleet() as cluster:
             for _ in range(5):
-                empty(one, "one")
-                restore(one, "one")
-            empty(one, "two")
-            empty(one, "one")
-            restore(one, "two")
-            await in_force(one, "one")
-            assert (await one.ask("b"))[1] in (b"i-c", b"i-d")
+                drain_zone(cluster, "one")
+                restore_zone(cluster, "one")
+            drain_zone(cluster, "two")
+            drain_zone(cluster, "one")
+            restore_zone(cluster, "two")
+            await wait_until_in_force(cluster, "one")
+            assert (await cluster.ask("b"))[1] in (b"i-c", b"i-d")
 
     run(scenario)
 
 
-def test_a_daemon_that_starts_knows_before_its_first_request():
+def test_a_starting_daemon_knows_the_drains_before_its_first_request():
     async def scenario():
-        async with two_zones() as one:
-            await one.stop("a")
-            empty(one, "one")
-            await in_force(one, "one")
-            before = received(one, "one")
-            await one.start("a")
+        async with two_zone_fleet() as cluster:
+            await cluster.stop("a")
+            drain_zone(cluster, "one")
+            await wait_until_in_force(cluster, "one")
+            before = received_count(cluster, "one")
+            await cluster.start("a")
             statuses = set()
             while 200 not in statuses:
-                statuses.add((await one.ask("a"))[0])
-            assert statuses <= {200, 503} and received(one, "one") == before
+                statuses.add((await cluster.ask("a"))[0])
+            assert statuses <= {200, 503} and received_count(cluster, "one") == before
 
     run(scenario)
 
 
-@pytest.mark.parametrize("fault", TROUBLES)
-def test_it_is_in_force_in_time_while_a_third_is_turned_away(fault):
+@pytest.mark.parametrize("fault", STORE_FAULTS)
+def test_a_drain_is_in_force_in_time_while_a_third_of_daemons_lose_the_store(fault):
     async def scenario():
         names = "abcdef"
         zones = {name: "one" if name in "abc" else "two" for name in names}
         options = {"has_doors": True, "watch": "5s", "watch_check": "200ms"}
-        async with fleet(*names, zones=zones, **options) as one:
+        async with fleet(*names, zones=zones, **options) as cluster:
             for name in "ad":
-                one.doors[name].fault = fault
-            empty(one, "two")
-            await in_force(one, "two")
-            restore(one, "two")
-            await in_force(one)
+                cluster.doors[name].fault = fault
+            drain_zone(cluster, "two")
+            await wait_until_in_force(cluster, "two")
+            restore_zone(cluster, "two")
+            await wait_until_in_force(cluster)
 
     run(scenario)
 
 
-@pytest.mark.parametrize("fault", TROUBLES)
-def test_it_is_in_force_soon_after_the_store_was_away(fault):
+@pytest.mark.parametrize("fault", STORE_FAULTS)
+def test_a_drain_is_in_force_in_time_after_a_store_fault(fault):
     async def scenario():
-        async with two_zones(watch="20s", watch_check="200ms") as one:
-            one.store.fault = fault
-            calls = len(one.store.calls)
+        async with two_zone_fleet(watch="20s", watch_check="200ms") as cluster:
+            cluster.store.fault = fault
+            calls = len(cluster.store.calls)
 
-            async def noticed():
-                return len(one.store.calls) > calls + 4
+            async def has_noticed():
+                return len(cluster.store.calls) > calls + 4
 
-            await eventually(noticed)
-            empty(one, "one")
-            one.store.fault = Fault.NONE
-            await in_force(one, "one")
+            await eventually(has_noticed)
+            drain_zone(cluster, "one")
+            cluster.store.fault = Fault.NONE
+            await wait_until_in_force(cluster, "one")
 
     run(scenario)
 
 
-def test_a_forgotten_history_changes_nothing():
+def test_drains_and_restores_arrive_after_the_store_loses_its_history():
     async def scenario():
-        async with two_zones() as one:
-            empty(one, "one")
-            await in_force(one, "one")
-            one.store.forget()
-            restore(one, "one")
-            empty(one, "two")
-            one.store.forget()
-            await in_force(one, "two")
+        async with two_zone_fleet() as cluster:
+            drain_zone(cluster, "one")
+            await wait_until_in_force(cluster, "one")
+            cluster.store.forget()
+            restore_zone(cluster, "one")
+            drain_zone(cluster, "two")
+            cluster.store.forget()
+            await wait_until_in_force(cluster, "two")
 
     run(scenario)
 
 
-def test_an_old_answer_undoes_nothing():
+def test_a_stale_read_does_not_undo_a_drain():
     async def scenario():
-        async with two_zones() as one:
-            one.store.keep_stale()
-            empty(one, "one")
-            await in_force(one, "one")
-            reader = one.daemons["a"].feed._reader
+        async with two_zone_fleet() as cluster:
+            cluster.store.keep_stale()
+            drain_zone(cluster, "one")
+            await wait_until_in_force(cluster, "one")
+            reader = cluster.daemons["a"].feed._reader
             assert await reader.read_drains(stale_ok=True)
-            await in_force(one, "one")
+            await wait_until_in_force(cluster, "one")
 
     run(scenario)
 
 
-def test_a_restored_zone_counts_as_cold_until_its_server_is_asked():
+def test_a_restored_zone_counts_as_cold_until_its_server_is_probed():
     async def scenario():
         written = configuration()
         written["services"]["papers"] |= {"cold_start_s": 2.0, "cold_per_s": 8}
-        async with fleet("a", "b", zones=ZONES, written=written, **SETTINGS) as one:
-            backend = one.backends["a"]
-            empty(one, "one")
-            await in_force(one, "one")
+        async with fleet("a", "b", zones=ZONES, written=written, **SETTINGS) as cluster:
+            backend = cluster.backends["a"]
+            drain_zone(cluster, "one")
+            await wait_until_in_force(cluster, "one")
             backend.cold_until = asyncio.get_running_loop().time() + 2.0
             backend.arrivals.clear()
-            restore(one, "one")
-            await in_force(one)
-            await press(one, 0.5)
-            # Some answers come later than that, so the bound is held against any half second.
+            restore_zone(cluster, "one")
+            await wait_until_in_force(cluster)
+            await press(cluster, 0.5)
+            # Some requests arrive later, so the limit is checked for every interval of 0.5 s.
             times = backend.arrivals
-            most = max(sum(at <= other < at + 0.5 for other in times) for at in times)
-            assert most <= 8 * 1.5 * 0.5 + 4 + 1
+            max_arrivals = max(sum(at <= other < at + 0.5 for other in times) for at in times)
+            assert max_arrivals <= 8 * 1.5 * 0.5 + 4 + 1
 
-            async def told():
-                return one.daemons["a"].server_side.gate.admission.cold._assumed_until < 0
+            async def is_measured():
+                return cluster.daemons["a"].server_side.gate.admission.cold._assumed_until < 0
 
-            await eventually(told)
-            assert one.daemons["a"].status().cold
+            await eventually(is_measured)
+            assert cluster.daemons["a"].status().cold
 
     run(scenario)
 
 
-# The order of news, without daemons.
+# Order of changes, without daemons.
 
 
-def test_changes_apply_to_whatever_is_known():
+def test_changes_apply_to_the_known_drains():
     known = with_changes(None, [("a", ZoneDrain("a"))], 5, whole=True)
     assert known == ZoneDrains(5, (ZoneDrain("a"),))
     assert with_changes(known, [], 4, whole=True) is None
-    both = with_changes(known, [("b", ZoneDrain("b"))], 6, whole=False)
-    assert both.zones == {"a", "b"}
-    assert with_changes(both, [("a", None)], 7, whole=False).zones == {"b"}
-    assert with_changes(both, [], 7, whole=True).zones == set()
+    combined = with_changes(known, [("b", ZoneDrain("b"))], 6, whole=False)
+    assert combined.zones == {"a", "b"}
+    assert with_changes(combined, [("a", None)], 7, whole=False).zones == {"b"}
+    assert with_changes(combined, [], 7, whole=True).zones == set()
 
 
-def test_what_stands_in_a_drain_is_read_and_an_empty_one_will_do():
+def test_a_drain_is_decoded_with_unknown_and_without_optional_fields():
     value = json.dumps({"asked_by": "anna", "since": 12.5, "more": 1}).encode()
     assert decode_drain("a", value).unwrap() == ZoneDrain("a", "anna", 12.5)
     assert decode_drain("a", b"{}").unwrap() == ZoneDrain("a")
     assert decode_drain("a", b"null").is_err()
 
 
-OPERATIONS = st.tuples(st.sampled_from("ab"), st.booleans())
+OPERATION = st.tuples(st.sampled_from("ab"), st.booleans())
 
 
 @settings(max_examples=300, deadline=None)
 @given(
-    history=st.lists(OPERATIONS, max_size=12),
-    views=st.lists(
+    history=st.lists(OPERATION, max_size=12),
+    reads=st.lists(
         st.tuples(st.integers(0, 2), st.integers(0, 12), st.integers(0, 12), st.booleans()),
         max_size=20,
     ),
 )
-def test_copies_never_go_back_and_end_with_what_the_platform_holds(history, views):
-    """Three daemons read any part of the history, late and doubled, and follow each other."""
+def test_caches_never_go_back_and_converge_to_the_platforms_state(history, reads):
+    """Three daemons read parts of the history, late and repeatedly, and follow each other."""
     states = [frozenset()]
     for zone, emptied in history:
         states.append(states[-1] | {zone} if emptied else states[-1] - {zone})
@@ -303,7 +305,7 @@
     def answer(number, since, version, is_whole):
         cache = caches[number]
         if not is_whole and (cache.drains is None or since > cache.drains.version):
-            return  # a watch begins at what its daemon knows, or before
+            return  # a watch never starts after the version of its daemon
         changes = whole(version) if is_whole else map(change, range(since + 1, version + 1))
         new = with_changes(cache.drains, changes, version, whole=is_whole)
         if new is not None:
@@ -316,7 +318,7 @@
                 assert cache.drains.zones == states[cache.drains.version]
 
     last = len(history)
-    for number, since, version, is_whole in views:
+    for number, since, version, is_whole in reads:
         before = [cache.drains for cache in caches]
         since, version = sorted((min(since, last), min(version, last)))
         answer(number, since, version, is_whole)
@@ -331,29 +333,29 @@
         assert caches[number].drains.zones == states[last]
 
 
-def test_a_store_that_turns_away_is_tried_by_one_watch_and_heard_as_soon_as_it_is_back(
+def test_only_one_watch_retries_at_a_busy_store_and_restarts_the_other_when_it_recovers(
     monkeypatch,
 ):
-    # So long that only the return of the other watch can make it heard in time.
+    # So long that the watch of the drains is in time only if the watch of the head restarts it.
     monkeypatch.setattr(watching, "DRAINS_BACKOFF_FACTOR", 100.0)
 
     async def scenario():
-        async with fleet("a", "b", zones={"a": "one", "b": "two"}, watch="500ms") as one:
+        async with fleet("a", "b", zones={"a": "one", "b": "two"}, watch="500ms") as cluster:
 
-            def tries(kind):
-                return sum(f"/objects/{kind}" in call for call in one.store.calls)
+            def count_calls(kind):
+                return sum(f"/objects/{kind}" in call for call in cluster.store.calls)
 
-            async def tried_often():
-                return tries("config") >= 60
+            async def has_retried():
+                return count_calls("config") >= 60
 
-            one.store.fault = Fault.BUSY
-            await eventually(tried_often)  # the watches that waited have ended by now
-            one.store.calls.clear()
-            await eventually(tried_often)
-            assert tries("evacuations") < tries("config") / 2
-            one.store.fault = Fault.NONE
-            empty(one, "one")
+            cluster.store.fault = Fault.BUSY
+            await eventually(has_retried)  # the pending watches have ended by now
+            cluster.store.calls.clear()
+            await eventually(has_retried)
+            assert count_calls("evacuations") < count_calls("config") / 2
+            cluster.store.fault = Fault.NONE
+            drain_zone(cluster, "one")
             async with asyncio.timeout(2.0):
-                await in_force(one, "one")
+                await wait_until_in_force(cluster, "one")
 
     run(scenario)
--- a/test/test_zone_model.py
+++ b/test/test_zone_model.py
@@ -1,9 +1,9 @@
-"""Emptied zones explored to the end: all states of a store and two daemons, with some changes.
+"""Exhaustive model check of zone drains: all states of a store and two daemons.
 
-The store's answers are on their way for any time, come in any order or never; each daemon reads
-the whole, hears of changes, follows the other, and is started anew. Whatever the course, what
-a daemon knows is what held at the version that it names, it never goes back within a life, and
-one answer that comes now makes it right.
+Responses of the store are delayed, reordered or lost. Each daemon reads all drains, watches for
+changes, follows the other daemon and restarts. The drains that a daemon knows must be those of
+their version, the version never decreases between restarts, and one new response must make the
+daemon's state current.
 """
 
 from dataclasses import dataclass, replace
@@ -12,19 +12,19 @@
 from wheatslip.distribution.feedcache import FeedCache
 
 ZONE = "one"
-CHANGES = 3  # of the zone: emptied, restored, emptied again
-ON_THE_WAY = 2  # answers at one time
+MAX_CHANGES = 3  # drained, restored, drained again
+MAX_IN_FLIGHT = 2  # responses
 DAEMONS = (0, 1)
-LEAST_STATES = 13_000  # as many there are; fewer would mean that the search lost its way
+MIN_STATES = 13_000  # a lower number shows an incomplete search
 
 
 @dataclass(frozen=True)
-class Answer:
-    """To one daemon: what held at `version`; `since` is None for the whole, the version from
-    which changes are told, or for an update of the other daemon its drains.
+class Response:
+    """A response to one daemon at `version`: all drains, the changes after version `since` if
+    it is not None, or the drains in an update of the other daemon.
     """
 
-    to: int
+    daemon: int
     version: int
     since: int | None = None
     update: ZoneDrains | None = None
@@ -34,15 +34,15 @@
 class State:
     version: int = 0
     known: tuple = (None, None)  # ZoneDrains of each daemon
-    way: frozenset = frozenset()
+    in_flight: frozenset = frozenset()
 
 
-def is_emptied(version):
+def is_drained(version):
     return version % 2 == 1
 
 
-def drain_at(version):
-    return ((ZONE, ZoneDrain(ZONE) if is_emptied(version) else None),)
+def change_at(version):
+    return ((ZONE, ZoneDrain(ZONE) if is_drained(version) else None),)
 
 
 def cache_with(known):
@@ -52,72 +52,72 @@
     return cache
 
 
-def taken(known, answer):
-    """What a daemon that knows `known` makes of an answer."""
+def after_response(known, response):
+    """The drains that a daemon knows after a response; `known` are those before it."""
     cache = cache_with(known)
-    if answer.update is not None:
-        cache.store_drains(answer.update)
+    if response.update is not None:
+        cache.store_drains(response.update)
         return cache.drains
-    if answer.since is None:
-        changes = drain_at(answer.version) if is_emptied(answer.version) else ()
+    if response.since is None:
+        changes = change_at(response.version) if is_drained(response.version) else ()
     else:
-        versions = range(answer.since + 1, answer.version + 1)
-        changes = [change for version in versions for change in drain_at(version)]
-    new = with_changes(known, changes, answer.version, whole=answer.since is None)
+        versions = range(response.since + 1, response.version + 1)
+        changes = [change for version in versions for change in change_at(version)]
+    new = with_changes(known, changes, response.version, whole=response.since is None)
     if new is not None:
         cache.store_drains(new)
     return cache.drains
 
 
-def with_known(state, daemon, known):
+def replace_known(state, daemon, known):
     both = list(state.known)
     both[daemon] = known
     return replace(state, known=tuple(both))
 
 
-def steps(state):
-    """All states that may come next."""
-    if state.version < CHANGES:
+def next_states(state):
+    """All states that can follow `state`."""
+    if state.version < MAX_CHANGES:
         yield replace(state, version=state.version + 1)
     for daemon in DAEMONS:
-        yield with_known(state, daemon, None)  # started anew; answers to it are lost
+        yield replace_known(state, daemon, None)  # a restart
         known = state.known[daemon]
-        asked = [Answer(daemon, state.version)]
+        responses = [Response(daemon, state.version)]
         if known is not None:
-            asked.append(Answer(daemon, state.version, known.version))
+            responses.append(Response(daemon, state.version, known.version))
         other = state.known[1 - daemon]
         if other is not None:
-            asked.append(Answer(daemon, other.version, update=other))
-        if len(state.way) < ON_THE_WAY:
-            for answer in asked:
-                yield replace(state, way=state.way | {answer})
-    for answer in state.way:
-        left = replace(state, way=state.way - {answer})
-        yield left  # it is lost
-        known = state.known[answer.to]
-        if answer.since is not None and (known is None or known.version < answer.since):
-            continue  # a watch ends with the daemon that made it
-        new = taken(known, answer)
+            responses.append(Response(daemon, other.version, update=other))
+        if len(state.in_flight) < MAX_IN_FLIGHT:
+            for response in responses:
+                yield replace(state, in_flight=state.in_flight | {response})
+    for response in state.in_flight:
+        remaining = replace(state, in_flight=state.in_flight - {response})
+        yield remaining  # the response is lost
+        known = state.known[response.daemon]
+        if response.since is not None and (known is None or known.version < response.since):
+            continue  # the watch ended with the restart of its daemon
+        new = after_response(known, response)
         assert known is None or new.version >= known.version
-        yield with_known(left, answer.to, new)
+        yield replace_known(remaining, response.daemon, new)
 
 
 def check(state):
     for known in state.known:
         if known is not None:
-            assert (ZONE in known.zones) == is_emptied(known.version)
-        heard = taken(known, Answer(0, state.version))
-        assert (ZONE in heard.zones) == is_emptied(state.version)
+            assert (ZONE in known.zones) == is_drained(known.version)
+        updated = after_response(known, Response(0, state.version))
+        assert (ZONE in updated.zones) == is_drained(state.version)
 
 
-def test_every_state_of_a_store_and_two_daemons_holds():
-    seen = {State()}
-    ahead = [State()]
-    while ahead:
-        state = ahead.pop()
+def test_all_states_of_a_store_and_two_daemons_are_consistent():
+    visited = {State()}
+    pending = [State()]
+    while pending:
+        state = pending.pop()
         check(state)
-        for following in steps(state):
-            if following not in seen:
-                seen.add(following)
-                ahead.append(following)
-    assert len(seen) >= LEAST_STATES
+        for next_state in next_states(state):
+            if next_state not in visited:
+                visited.add(next_state)
+                pending.append(next_state)
+    assert len(visited) >= MIN_STATES
