--- a/test/test_publisher.py
+++ b/test/test_publisher.py
@@ -1,4 +1,4 @@
-"""The daemon's own list entry: written once, kept right, and never another's."""
+"""The daemon's own list entry is written once per change and kept up to date."""
 
 import asyncio
 import json
@@ -21,19 +21,19 @@
 
 
 @asynccontextmanager
-async def publisher(store):
+async def running_publisher(store):
     client = FleetStore(f"{HOST}:{store.server.port}")
-    one = Publisher(client, Random(1))
-    task = asyncio.create_task(one.run())
+    publisher = Publisher(client, Random(1))
+    task = asyncio.create_task(publisher.run())
     try:
-        yield one
+        yield publisher
     finally:
         task.cancel()
         await client.close()
 
 
 @asynccontextmanager
-async def standing_store(**options):
+async def serve_store(**options):
     store = StoreStandIn(**options)
     await store.server.listen(HOST, 0)
     try:
@@ -42,23 +42,23 @@
         await store.server.stop(0.0)
 
 
-def entry(store):
-    found = store.objects.get(KEY)
-    return json.loads(bytes(found.spec)) if found else None
+def stored_entry(store):
+    stored = store.objects.get(KEY)
+    return json.loads(bytes(stored.spec)) if stored else None
 
 
-async def settled(one):
-    await one.wait_settled(5.0)
+async def wait_until_settled(publisher):
+    await publisher.wait_settled(5.0)
 
 
-def test_an_entry_is_written_once_and_not_again_without_a_change():
+def test_an_unchanged_entry_is_written_once():
     async def scenario():
-        async with standing_store() as store, publisher(store) as one:
-            one.publish(INSTANCE)
-            await settled(one)
-            assert entry(store)["incarnation"] == 1
-            one.publish(INSTANCE)
-            await settled(one)
+        async with serve_store() as store, running_publisher(store) as publisher:
+            publisher.publish(INSTANCE)
+            await wait_until_settled(publisher)
+            assert stored_entry(store)["incarnation"] == 1
+            publisher.publish(INSTANCE)
+            await wait_until_settled(publisher)
             assert store.rev == 1 and len(store.calls) == 1
 
     run(scenario)
@@ -66,159 +66,162 @@
 
 def test_each_start_is_a_new_incarnation():
     async def scenario():
-        async with standing_store() as store:
+        async with serve_store() as store:
             for incarnation in (1, 2, 3):
-                async with publisher(store) as one:
-                    one.publish(INSTANCE)
-                    await settled(one)
-                    assert entry(store)["incarnation"] == incarnation
+                async with running_publisher(store) as publisher:
+                    publisher.publish(INSTANCE)
+                    await wait_until_settled(publisher)
+                    assert stored_entry(store)["incarnation"] == incarnation
 
     run(scenario)
 
 
-def test_a_return_after_leaving_is_a_new_incarnation_too():
+def test_an_instance_that_is_live_again_after_leaving_is_a_new_incarnation():
     async def scenario():
-        async with standing_store() as store, publisher(store) as one:
+        async with serve_store() as store, running_publisher(store) as publisher:
             for instance, incarnation in ((INSTANCE, 1), (LEAVING, 1), (INSTANCE, 2)):
-                one.publish(instance)
-                await settled(one)
-                assert entry(store)["incarnation"] == incarnation
-                assert entry(store)["state"] == instance.state.value
+                publisher.publish(instance)
+                await wait_until_settled(publisher)
+                assert stored_entry(store)["incarnation"] == incarnation
+                assert stored_entry(store)["state"] == instance.state.value
 
     run(scenario)
 
 
-def test_a_lost_answer_is_read_back_rather_than_written_again():
+def test_a_write_without_a_response_is_read_back_instead_of_repeated():
     async def scenario():
-        async with standing_store(lose_answers=1) as store, publisher(store) as one:
-            one.publish(INSTANCE)
-            await settled(one)
-            assert store.rev == 1 and entry(store)["incarnation"] == 1
+        async with serve_store(lose_answers=1) as store, running_publisher(store) as publisher:
+            publisher.publish(INSTANCE)
+            await wait_until_settled(publisher)
+            assert store.rev == 1 and stored_entry(store)["incarnation"] == 1
 
     run(scenario)
 
 
-async def leave_entry(store):
-    """What a publisher of a life before leaves behind."""
-    async with publisher(store) as one:
-        one.publish(INSTANCE)
-        await settled(one)
+async def publish_once(store):
+    """Leave the entry that the publisher of a previous start has written."""
+    async with running_publisher(store) as publisher:
+        publisher.publish(INSTANCE)
+        await wait_until_settled(publisher)
 
 
-def test_a_new_start_goes_on_from_the_listed_entry_with_one_write():
+def test_a_restarted_daemon_replaces_its_listed_entry_with_one_write():
     async def scenario():
-        async with standing_store() as store:
-            await leave_entry(store)
+        async with serve_store() as store:
+            await publish_once(store)
             store.calls.clear()
-            async with publisher(store) as one:
-                one.on_listed(INSTANCE, store.rev)
-                one.publish(INSTANCE)
-                await settled(one)
+            async with running_publisher(store) as publisher:
+                publisher.on_listed(INSTANCE, store.rev)
+                publisher.publish(INSTANCE)
+                await wait_until_settled(publisher)
             assert len(store.calls) == 1
-            assert entry(store)["incarnation"] == 2
+            assert stored_entry(store)["incarnation"] == 2
 
     run(scenario)
 
 
-def test_a_new_start_that_registers_before_its_list_comes_writes_once_too():
+def test_a_daemon_that_publishes_before_it_has_the_list_writes_once():
     async def scenario():
-        async with standing_store() as store:
-            await leave_entry(store)
+        async with serve_store() as store:
+            await publish_once(store)
             store.calls.clear()
-            async with publisher(store) as one:
-                one.publish(INSTANCE)
+            async with running_publisher(store) as publisher:
+                publisher.publish(INSTANCE)
                 await asyncio.sleep(0.05)
-                one.on_listed(INSTANCE, store.rev, store.rev)
-                await settled(one)
+                publisher.on_listed(INSTANCE, store.rev, store.rev)
+                await wait_until_settled(publisher)
             assert len(store.calls) == 1
-            assert entry(store)["incarnation"] == 2
+            assert stored_entry(store)["incarnation"] == 2
 
     run(scenario)
 
 
-def test_a_list_from_before_the_last_write_tells_nothing():
+def test_a_list_older_than_the_last_write_is_ignored():
     async def scenario():
-        async with standing_store() as store, publisher(store) as one:
-            one.publish(INSTANCE)
-            await settled(one)
+        async with serve_store() as store, running_publisher(store) as publisher:
+            publisher.publish(INSTANCE)
+            await wait_until_settled(publisher)
             calls = len(store.calls)
-            one.on_listed(None, list_version=store.rev - 1)
-            await settled(one)
+            publisher.on_listed(None, list_version=store.rev - 1)
+            await wait_until_settled(publisher)
             assert len(store.calls) == calls
 
     run(scenario)
 
 
-def test_a_watch_that_is_ahead_of_the_answer_to_a_write_asks_for_nothing():
+def test_a_watch_that_precedes_the_response_to_a_write_causes_no_call():
     async def scenario():
-        async with standing_store() as store, publisher(store) as one:
-            put = one._store.put
+        async with serve_store() as store, running_publisher(store) as publisher:
+            put = publisher._store.put
 
-            async def put_while_the_watch_tells(*args):
+            async def put_and_list(*args):
                 answer = await put(*args)
-                one.on_listed(args[2], store.rev, store.rev)
+                publisher.on_listed(args[2], store.rev, store.rev)
                 return answer
 
-            one._store.put = put_while_the_watch_tells
-            one.publish(INSTANCE)
-            await settled(one)
+            publisher._store.put = put_and_list
+            publisher.publish(INSTANCE)
+            await wait_until_settled(publisher)
             assert len(store.calls) == 1
 
     run(scenario)
 
 
-def test_a_listed_entry_of_another_version_is_read_before_the_write():
+def test_a_listed_entry_with_a_wrong_version_is_read_before_the_write():
     async def scenario():
-        async with standing_store() as store:
-            await leave_entry(store)
-            async with publisher(store) as one:
-                one.on_listed(INSTANCE, store.rev + 1)
-                one.publish(INSTANCE)
-                await settled(one)
-            assert entry(store)["incarnation"] == 2
+        async with serve_store() as store:
+            await publish_once(store)
+            async with running_publisher(store) as publisher:
+                publisher.on_listed(INSTANCE, store.rev + 1)
+                publisher.publish(INSTANCE)
+                await wait_until_settled(publisher)
+            assert stored_entry(store)["incarnation"] == 2
 
     run(scenario)
 
 
-def test_an_entry_that_someone_removed_is_written_again():
+def test_a_removed_entry_is_written_again():
     async def scenario():
-        async with standing_store() as store, publisher(store) as one:
-            one.publish(INSTANCE)
-            await settled(one)
+        async with serve_store() as store, running_publisher(store) as publisher:
+            publisher.publish(INSTANCE)
+            await wait_until_settled(publisher)
             del store.objects[KEY]
-            one.on_listed(None)
-            await settled(one)
-            assert entry(store) is not None
+            publisher.on_listed(None)
+            await wait_until_settled(publisher)
+            assert stored_entry(store) is not None
 
     run(scenario)
 
 
-def test_an_outage_only_delays_the_entry():
+def test_an_entry_is_written_after_an_outage():
     async def scenario():
-        async with standing_store(fault=Fault.BUSY) as store, publisher(store) as one:
-            one.publish(INSTANCE)
+        async with (
+            serve_store(fault=Fault.BUSY) as store,
+            running_publisher(store) as publisher,
+        ):
+            publisher.publish(INSTANCE)
 
-            async def tried():
+            async def has_retried():
                 return len(store.calls) >= 2
 
-            await eventually(tried)
+            await eventually(has_retried)
             store.fault = Fault.NONE
-            await settled(one)
-            assert entry(store)["state"] == "live"
+            await wait_until_settled(publisher)
+            assert stored_entry(store)["state"] == "live"
 
     run(scenario)
 
 
-def test_a_withdrawn_entry_goes_and_a_second_word_finds_nothing():
+def test_withdrawing_an_entry_twice_removes_it_once():
     async def scenario():
-        async with standing_store() as store, publisher(store) as one:
-            one.publish(INSTANCE)
-            await settled(one)
-            one.withdraw()
-            await settled(one)
-            assert entry(store) is None
-            one.withdraw()
-            await settled(one)
-            assert entry(store) is None
+        async with serve_store() as store, running_publisher(store) as publisher:
+            publisher.publish(INSTANCE)
+            await wait_until_settled(publisher)
+            publisher.withdraw()
+            await wait_until_settled(publisher)
+            assert stored_entry(store) is None
+            publisher.withdraw()
+            await wait_until_settled(publisher)
+            assert stored_entry(store) is None
 
     run(scenario)
--- a/test/test_registrar.py
+++ b/test/test_registrar.py
@@ -1,4 +1,4 @@
-"""Questions to the health endpoint while it is not known who stands beside the daemon."""
+"""Probes of the health endpoint until a backend server has registered."""
 
 import asyncio
 from types import SimpleNamespace
@@ -14,11 +14,11 @@
 )
 from wheatslipd.settings import HeaderNames
 
-QUESTIONS = 3
+PROBE_COUNT = 3
 
 
 @pytest.mark.parametrize(
-    ("took", "pause"),
+    ("probe_seconds", "sleep_seconds"),
     [
         (0.0, HEALTH_INTERVAL_SECONDS),
         (0.1, HEALTH_INTERVAL_SECONDS - 0.1),
@@ -26,28 +26,28 @@
         (0.4, 0.0),
     ],
 )
-def test_questions_begin_a_pause_apart_and_at_once_after_one_that_took_longer(
-    monkeypatch, took, pause
+def test_probes_start_at_a_fixed_interval_and_at_once_after_a_longer_one(
+    monkeypatch, probe_seconds, sleep_seconds
 ):
-    """A start that holds up the loop makes the first question run out of time. The daemon was
-    ready meanwhile, and refused all callers for a whole pause more.
+    """If startup blocks the loop, the first probe times out. Waiting after it would make a
+    daemon that is ready refuse all callers for another interval.
     """
     now = [0.0]
-    pauses = []
+    sleeps = []
 
     async def ask_health(*_):
-        now[0] += took
+        now[0] += probe_seconds
 
     async def sleep(seconds):
         now[0] += seconds
-        pauses.append(seconds)
-        if len(pauses) == QUESTIONS:
+        sleeps.append(seconds)
+        if len(sleeps) == PROBE_COUNT:
             raise asyncio.CancelledError
 
     monkeypatch.setattr(registrar, "ask_health", ask_health)
-    stub = SimpleNamespace(sleep=sleep, Event=asyncio.Event)
-    monkeypatch.setattr(registrar, "asyncio", stub)
-    asker = Registrar(
+    fake_asyncio = SimpleNamespace(sleep=sleep, Event=asyncio.Event)
+    monkeypatch.setattr(registrar, "asyncio", fake_asyncio)
+    registrar_under_test = Registrar(
         Registration("papers", "10.0.0.1:80"),
         backend=None,
         names=HeaderNames(),
@@ -58,5 +58,5 @@
         health_path="/health",
     )
     with pytest.raises(asyncio.CancelledError):
-        asyncio.run(asker.run())
-    assert pauses == [pytest.approx(pause)] * QUESTIONS
+        asyncio.run(registrar_under_test.run())
+    assert sleeps == [pytest.approx(sleep_seconds)] * PROBE_COUNT
--- a/test/test_registration.py
+++ b/test/test_registration.py
@@ -1,4 +1,4 @@
-"""Registration: late, doubled and forged words of a backend server change nothing."""
+"""Registration: late, duplicate and foreign messages of backend servers change nothing."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,113 +13,113 @@
 ADDRESS = "127.0.0.1:8000"
 
 
-def registration():
+def new_registration():
     return Registration("papers", ADDRESS)
 
 
-def beat(sequence, state=ServerState.READY, pool="papers", address=ADDRESS, slots=12):
+def heartbeat(sequence, state=ServerState.READY, pool="papers", address=ADDRESS, slots=12):
     return Heartbeat(pool, address, slots, sequence, state)
 
 
 def test_the_first_heartbeat_registers():
-    one = registration()
-    assert one.on_heartbeat("a", beat(1), 0.0)
-    assert one.current.server == "a" and one.current.slots == 12
-    assert not one.on_heartbeat("a", beat(2), 1.0)
-
-
-def test_a_heartbeat_of_another_pool_or_address_is_not_ours():
-    one = registration()
-    assert not one.on_heartbeat("a", beat(1, pool="rolls"), 0.0)
-    assert not one.on_heartbeat("a", beat(1, address="127.0.0.1:1"), 0.0)
-    assert one.current is None
-
-
-def test_a_late_heartbeat_does_not_take_draining_back():
-    one = registration()
-    one.on_heartbeat("a", beat(1), 0.0)
-    assert one.on_heartbeat("a", beat(3, ServerState.LEAVING), 1.0)
-    assert not one.on_heartbeat("a", beat(2), 1.1)
-    assert not one.on_heartbeat("a", beat(4), 1.2)
-    assert one.current.leaving
-
-
-def test_a_goodbye_counts_without_a_heartbeat_before_it():
-    one = registration()
-    assert not one.on_deregistration("a")
-    assert not one.on_heartbeat("a", beat(1), 0.0)
-    assert one.current is None
-
-
-def test_a_new_server_takes_over_and_the_old_one_stays_gone():
-    one = registration()
-    one.on_heartbeat("a", beat(5), 0.0)
-    assert not one.on_heartbeat("b", beat(1), 1.0) and one.is_disputed
-    assert one.on_health("b", 12, is_healthy=False) and not one.is_disputed
-    assert one.current.server == "b"
-    assert not one.on_heartbeat("a", beat(6), 1.1)
-    assert not one.on_deregistration("a")
-    assert one.current.server == "b" and not one.current.leaving
-
-
-def test_a_late_draining_word_of_the_server_before_spares_the_present_one():
-    one = registration()
-    one.on_health("b", 12, is_healthy=True)
-    assert not one.on_heartbeat("a", beat(9, ServerState.LEAVING), 0.0)
-    assert one.current.server == "b" and not one.current.leaving
-
-
-def test_a_late_heartbeat_of_a_crashed_server_changes_nothing_after_a_new_start_of_ours():
-    """The daemon does not know the crashed one, as it has started anew itself."""
-    for by_heartbeat in (False, True):
-        one = registration()
-        if by_heartbeat:
-            one.on_heartbeat("b", beat(1), 0.0)
+    registration = new_registration()
+    assert registration.on_heartbeat("a", heartbeat(1), 0.0)
+    assert registration.current.server == "a" and registration.current.slots == 12
+    assert not registration.on_heartbeat("a", heartbeat(2), 1.0)
+
+
+def test_a_heartbeat_of_another_pool_or_address_is_ignored():
+    registration = new_registration()
+    assert not registration.on_heartbeat("a", heartbeat(1, pool="rolls"), 0.0)
+    assert not registration.on_heartbeat("a", heartbeat(1, address="127.0.0.1:1"), 0.0)
+    assert registration.current is None
+
+
+def test_a_late_heartbeat_does_not_undo_draining():
+    registration = new_registration()
+    registration.on_heartbeat("a", heartbeat(1), 0.0)
+    assert registration.on_heartbeat("a", heartbeat(3, ServerState.LEAVING), 1.0)
+    assert not registration.on_heartbeat("a", heartbeat(2), 1.1)
+    assert not registration.on_heartbeat("a", heartbeat(4), 1.2)
+    assert registration.current.leaving
+
+
+def test_a_deregistration_before_any_heartbeat_retires_the_server():
+    registration = new_registration()
+    assert not registration.on_deregistration("a")
+    assert not registration.on_heartbeat("a", heartbeat(1), 0.0)
+    assert registration.current is None
+
+
+def test_a_new_server_takes_over_and_the_old_one_stays_retired():
+    registration = new_registration()
+    registration.on_heartbeat("a", heartbeat(5), 0.0)
+    assert not registration.on_heartbeat("b", heartbeat(1), 1.0) and registration.is_disputed
+    assert registration.on_health("b", 12, is_healthy=False) and not registration.is_disputed
+    assert registration.current.server == "b"
+    assert not registration.on_heartbeat("a", heartbeat(6), 1.1)
+    assert not registration.on_deregistration("a")
+    assert registration.current.server == "b" and not registration.current.leaving
+
+
+def test_a_late_draining_heartbeat_of_a_previous_server_is_ignored():
+    registration = new_registration()
+    registration.on_health("b", 12, is_healthy=True)
+    assert not registration.on_heartbeat("a", heartbeat(9, ServerState.LEAVING), 0.0)
+    assert registration.current.server == "b" and not registration.current.leaving
+
+
+def test_a_late_heartbeat_of_a_crashed_server_is_ignored_after_a_daemon_restart():
+    """The restarted daemon does not know the id of the crashed server."""
+    for is_by_heartbeat in (False, True):
+        registration = new_registration()
+        if is_by_heartbeat:
+            registration.on_heartbeat("b", heartbeat(1), 0.0)
         else:
-            one.on_health("b", 12, is_healthy=True)
-        assert not one.on_heartbeat("a", beat(9), 0.5)
-        assert one.current.server == "b" and one.is_disputed
-        assert not one.on_health("b", 12, is_healthy=True)
-        assert one.current.server == "b" and not one.is_disputed
-        assert not one.on_heartbeat("a", beat(10), 2.5)
-        one.on_heartbeat("b", beat(2), 2.6)
-        assert one.on_heartbeat("b", beat(3, ServerState.LEAVING), 2.7)
-
-
-def test_late_heartbeats_that_come_together_do_not_confirm_each_other():
-    one = registration()
-    one.on_heartbeat("b", beat(1), 0.0)
+            registration.on_health("b", 12, is_healthy=True)
+        assert not registration.on_heartbeat("a", heartbeat(9), 0.5)
+        assert registration.current.server == "b" and registration.is_disputed
+        assert not registration.on_health("b", 12, is_healthy=True)
+        assert registration.current.server == "b" and not registration.is_disputed
+        assert not registration.on_heartbeat("a", heartbeat(10), 2.5)
+        registration.on_heartbeat("b", heartbeat(2), 2.6)
+        assert registration.on_heartbeat("b", heartbeat(3, ServerState.LEAVING), 2.7)
+
+
+def test_late_heartbeats_that_arrive_together_do_not_confirm_a_claim():
+    registration = new_registration()
+    registration.on_heartbeat("b", heartbeat(1), 0.0)
     for number in range(5):
-        assert not one.on_heartbeat("a", beat(9 + number), 0.5 + number / 10)
-    assert one.current.server == "b"
+        assert not registration.on_heartbeat("a", heartbeat(9 + number), 0.5 + number / 10)
+    assert registration.current.server == "b"
 
 
-def test_a_new_server_whose_health_endpoint_is_silent_takes_over_by_beating_on():
-    one = registration()
-    one.on_heartbeat("a", beat(5), 0.0)
-    assert not one.on_heartbeat("b", beat(1), 1.0)
-    assert one.on_heartbeat("b", beat(2), 1.0 + CLAIM_CONFIRM_SECONDS)
-    assert one.current.server == "b" and not one.is_disputed
-    assert not one.on_heartbeat("a", beat(6), 3.0)
+def test_a_new_server_without_a_health_response_takes_over_by_further_heartbeats():
+    registration = new_registration()
+    registration.on_heartbeat("a", heartbeat(5), 0.0)
+    assert not registration.on_heartbeat("b", heartbeat(1), 1.0)
+    assert registration.on_heartbeat("b", heartbeat(2), 1.0 + CLAIM_CONFIRM_SECONDS)
+    assert registration.current.server == "b" and not registration.is_disputed
+    assert not registration.on_heartbeat("a", heartbeat(6), 3.0)
 
 
-def test_health_tells_who_is_there_only_until_a_heartbeat():
-    one = registration()
-    assert not one.on_health("a", 12, is_healthy=False)
-    assert one.on_health("a", 12, is_healthy=True)
-    assert not one.on_health("b", 12, is_healthy=True)
-    assert one.on_heartbeat("a", beat(1, ServerState.LEAVING), 0.0)
-    assert one.current.leaving
+def test_the_health_response_registers_a_server_only_until_a_heartbeat():
+    registration = new_registration()
+    assert not registration.on_health("a", 12, is_healthy=False)
+    assert registration.on_health("a", 12, is_healthy=True)
+    assert not registration.on_health("b", 12, is_healthy=True)
+    assert registration.on_heartbeat("a", heartbeat(1, ServerState.LEAVING), 0.0)
+    assert registration.current.leaving
 
 
-def test_ids_of_the_past_are_bounded():
-    one = registration()
+def test_the_number_of_retired_ids_is_bounded():
+    registration = new_registration()
     for number in range(MAX_RETIRED_IDS + 50):
-        one.on_deregistration(str(number))
-    assert len(one._retired) == MAX_RETIRED_IDS
+        registration.on_deregistration(str(number))
+    assert len(registration._retired) == MAX_RETIRED_IDS
 
 
-WORDS = st.lists(
+MESSAGES = st.lists(
     st.tuples(
         st.sampled_from("ab"),
         st.integers(1, 6),
@@ -129,19 +129,21 @@
 )
 
 
-@given(WORDS)
+@given(MESSAGES)
 @settings(max_examples=400, derandomize=True, deadline=None)
-def test_whatever_the_order_a_server_that_left_never_gets_work_again(words):
-    one = registration()
+def test_a_server_that_left_never_gets_requests_again(messages):
+    registration = new_registration()
     left = set()
-    for server, sequence, state in words:
+    for server, sequence, state in messages:
         if state is None:
-            one.on_deregistration(server)
+            registration.on_deregistration(server)
             left.add(server)
         else:
-            one.on_heartbeat(server, beat(sequence, state), 0.0)
-            is_current = one.current is not None and one.current.server == server
-            if is_current and one.current.leaving:
+            registration.on_heartbeat(server, heartbeat(sequence, state), 0.0)
+            is_current = (
+                registration.current is not None and registration.current.server == server
+            )
+            if is_current and registration.current.leaving:
                 left.add(server)
-        if one.current is not None and one.current.server in left:
-            assert one.current.leaving
+        if registration.current is not None and registration.current.server in left:
+            assert registration.current.leaving
