--- a/test/test_fleet_adapter.py
+++ b/test/test_fleet_adapter.py
@@ -60,7 +60,7 @@
 
 
 @asynccontextmanager
-async def store(**options):
+async def serve_store(**options):
     stand_in = StoreStandIn(**options)
     await stand_in.server.listen("127.0.0.1", 0)
     client = FleetStore(f"127.0.0.1:{stand_in.server.port}")
@@ -71,7 +71,7 @@
         await stand_in.server.stop(0.0)
 
 
-def test_a_configuration_becomes_a_bundle():
+def test_a_configuration_is_converted_to_a_bundle():
     bundle = read_configuration(json.dumps(CONFIGURATION).encode()).unwrap()
     first, second = bundle.routes
     assert bundle.version == 7
@@ -89,26 +89,26 @@
     ]
 
 
-def test_how_cold_servers_start_is_read_where_the_operator_tells():
+def test_cold_start_limits_are_read_where_configured():
     cold = {"cold_start_s": 3.0, "cold_per_s": 8.0}
     services = CONFIGURATION["services"]
-    told = services | {"papers": services["papers"] | cold}
+    with_cold_start = services | {"papers": services["papers"] | cold}
     bundle = read_configuration(
-        json.dumps(CONFIGURATION | {"services": told}).encode()
+        json.dumps(CONFIGURATION | {"services": with_cold_start}).encode()
     ).unwrap()
     papers, rolls = bundle.pools
     assert papers.cold == ColdStart(3.0, 8.0)
     assert rolls.cold is msgspec.UNSET
-    # Where nothing is told nothing is added, so digests stay what they were.
+    # Without the limits the bundle must have no such field, or its digest would change.
     assert (
         b'"cold"'
         not in read_configuration(json.dumps(CONFIGURATION).encode()).unwrap().canonical()
     )
 
 
-def test_emptied_zones_are_read_as_drains():
+def test_evacuations_are_read_as_zone_drains():
     async def scenario():
-        async with store() as (stand_in, client):
+        async with serve_store() as (stand_in, client):
             assert (await client.list(ZONE_DRAIN_KIND)).unwrap().items == ()
             stand_in.write("evacuations", "wien-a", {})
             listing = (await client.list(ZONE_DRAIN_KIND, stale_ok=True)).unwrap()
@@ -122,12 +122,12 @@
     run(scenario)
 
 
-def test_what_is_no_configuration_is_refused_with_a_reason():
+def test_an_invalid_configuration_is_refused_with_a_reason():
     for bad in (b"", b"{}", json.dumps(CONFIGURATION | {"routes": {"r": {}}}).encode()):
         assert "not a configuration" in read_configuration(bad).unwrap_err()
 
 
-def test_a_heartbeat_is_read():
+def test_a_heartbeat_is_decoded():
     body = {
         "address": "10.0.0.9:8080",
         "info": {"service": "papers", "version": "v1", "zone": "wien-a", "slots": 12},
@@ -141,9 +141,9 @@
     assert decode_heartbeat(b"[]") is None
 
 
-def test_the_configuration_is_read_as_a_head_and_the_bundle_that_it_names():
+def test_the_configuration_is_read_as_a_head_and_its_bundle():
     async def scenario():
-        async with store() as (stand_in, client):
+        async with serve_store() as (stand_in, client):
             assert await client.get(HEAD_KIND, HEAD_NAME) == Ok(None)
             stand_in.write("config", "main", CONFIGURATION)
             stored = (await client.get(HEAD_KIND, HEAD_NAME)).unwrap()
@@ -156,36 +156,36 @@
     run(scenario)
 
 
-def test_an_unreadable_configuration_is_passed_over():
+def test_an_unreadable_configuration_is_not_listed():
     async def scenario():
-        async with store() as (stand_in, client):
+        async with serve_store() as (stand_in, client):
             stand_in.write("config", "main", {"version": "new"})
             assert (await client.list(HEAD_KIND)).unwrap().items == ()
 
     run(scenario)
 
 
-def test_entries_are_created_replaced_and_removed_by_their_revision():
+def test_writes_and_deletes_require_the_current_revision():
     async def scenario():
-        async with store() as (_, client):
+        async with serve_store() as (_, client):
             first = (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
-            again = await client.put(INSTANCE_KIND, "a", INSTANCE, 0)
-            assert isinstance(again.unwrap_err(), Conflict)
-            assert again.unwrap_err().current.version == first.version
+            conflicting = await client.put(INSTANCE_KIND, "a", INSTANCE, 0)
+            assert isinstance(conflicting.unwrap_err(), Conflict)
+            assert conflicting.unwrap_err().current.version == first.version
             second = (await client.put(INSTANCE_KIND, "a", INSTANCE, first.version)).unwrap()
             stale = await client.delete(INSTANCE_KIND, "a", first.version)
             assert isinstance(stale.unwrap_err(), Conflict)
             assert await client.delete(INSTANCE_KIND, "a", second.version) == Ok(None)
             assert await client.delete(INSTANCE_KIND, "a", second.version) == Ok(None)
-            lost = await client.put(INSTANCE_KIND, "a", INSTANCE, second.version)
-            assert lost == Err(Conflict(None))
+            missing = await client.put(INSTANCE_KIND, "a", INSTANCE, second.version)
+            assert missing == Err(Conflict(None))
 
     run(scenario)
 
 
-def test_a_list_is_read_through_all_its_pages():
+def test_all_pages_of_a_list_are_read():
     async def scenario():
-        async with store(page=2) as (_, client):
+        async with serve_store(page=2) as (_, client):
             for name in "abcde":
                 (await client.put(INSTANCE_KIND, name, INSTANCE, 0)).unwrap()
             listing = (await client.list(INSTANCE_KIND)).unwrap()
@@ -196,18 +196,18 @@
 
 
 def test_a_change_between_two_pages_of_a_list_is_not_missed():
-    """The page that it belongs to was read already, so the watch must begin before it."""
+    """The page of the changed object was already read, so the watch must start earlier."""
 
     async def scenario():
-        async with store(page=2) as (stand_in, client):
+        async with serve_store(page=2) as (stand_in, client):
             for name in "bcde":
                 (await client.put(INSTANCE_KIND, name, INSTANCE, 0)).unwrap()
 
-            def write_behind_the_reader():
+            def write_to_first_page():
                 stand_in.after_page = None
                 stand_in.write(KINDS[INSTANCE_KIND], "a", msgspec.to_builtins(INSTANCE))
 
-            stand_in.after_page = write_behind_the_reader
+            stand_in.after_page = write_to_first_page
             states = follow(client, INSTANCE_KIND, Random(1))
             names = [item.name for item in (await anext(states)).items]
             assert names == list("bcde")
@@ -216,28 +216,28 @@
     run(scenario)
 
 
-def test_a_watch_tells_of_changes_and_of_what_is_gone():
+def test_a_watch_returns_changes_and_deletions():
     async def scenario():
-        async with store() as (stand_in, client):
-            at = (await client.list(INSTANCE_KIND)).unwrap().version
-            watch = asyncio.create_task(client.changes(INSTANCE_KIND, at, 5.0))
+        async with serve_store() as (stand_in, client):
+            start_version = (await client.list(INSTANCE_KIND)).unwrap().version
+            watch = asyncio.create_task(client.changes(INSTANCE_KIND, start_version, 5.0))
             await asyncio.sleep(0.01)
             stored = (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
             (item,) = (await watch).unwrap().items
             assert (item.name, item.deleted) == ("a", False)
             await client.delete(INSTANCE_KIND, "a", stored.version)
-            (gone,) = (await client.changes(INSTANCE_KIND, item.version, 5.0)).unwrap().items
-            assert (gone.name, gone.deleted) == ("a", True)
+            (removed,) = (await client.changes(INSTANCE_KIND, item.version, 5.0)).unwrap().items
+            assert (removed.name, removed.deleted) == ("a", True)
             stand_in.forget()
-            late = await client.changes(INSTANCE_KIND, at, 5.0)
+            late = await client.changes(INSTANCE_KIND, start_version, 5.0)
             assert isinstance(late.unwrap_err(), TooOld)
 
     run(scenario)
 
 
-def test_each_way_of_being_turned_away_is_unavailable_and_passes():
+def test_each_store_fault_is_unavailable_and_temporary():
     async def scenario():
-        async with store() as (stand_in, client):
+        async with serve_store() as (stand_in, client):
             for fault in (Fault.BUSY, Fault.RESET, Fault.SILENT):
                 stand_in.fault = fault
                 answer = await client.list(INSTANCE_KIND)
@@ -248,9 +248,9 @@
     run(scenario)
 
 
-def test_a_lost_answer_is_not_taken_for_a_refusal():
+def test_a_write_without_a_response_is_not_a_conflict():
     async def scenario():
-        async with store(lose_answers=1) as (stand_in, client):
+        async with serve_store(lose_answers=1) as (stand_in, client):
             answer = await client.put(INSTANCE_KIND, "a", INSTANCE, 0)
             assert isinstance(answer.unwrap_err(), Unavailable)
             assert (INSTANCE_KIND, "a") not in stand_in.objects
@@ -259,9 +259,9 @@
     run(scenario)
 
 
-def test_after_a_forgotten_history_the_next_listing_is_known_to_be_whole():
+def test_after_a_forgotten_history_the_next_listing_is_whole():
     async def scenario():
-        async with store() as (stand_in, client):
+        async with serve_store() as (stand_in, client):
             first = (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
             (await client.put(INSTANCE_KIND, "b", INSTANCE, 0)).unwrap()
             states = follow(client, INSTANCE_KIND, Random(1))
@@ -271,27 +271,27 @@
             assert not changes.whole and [item.name for item in changes.items] == ["c"]
             await client.delete(INSTANCE_KIND, "a", first.version)
             stand_in.forget()
-            again = await anext(states)
-            assert again.whole and [item.name for item in again.items] == ["b", "c"]
+            relisted = await anext(states)
+            assert relisted.whole and [item.name for item in relisted.items] == ["b", "c"]
 
     run(scenario)
 
 
-def test_a_watch_that_failed_comes_back_short_so_that_silence_does_not_hold_it():
+def test_a_watch_that_failed_is_retried_with_a_short_wait():
     async def scenario():
-        async with store() as (stand_in, client):
+        async with serve_store() as (stand_in, client):
             states = follow(client, INSTANCE_KIND, Random(1), wait=30.0, backoff_last=0.1)
             await anext(states)
             stand_in.fault = Fault.BUSY
             waiting = asyncio.create_task(anext(states))
 
-            async def calls_made(count):
+            async def has_called(count):
                 return len(stand_in.calls) >= count
 
-            await eventually(lambda: calls_made(2))
+            await eventually(lambda: has_called(2))
             stand_in.fault = Fault.SILENT
-            made = len(stand_in.calls)
-            await eventually(lambda: calls_made(made + 1))
+            calls_before = len(stand_in.calls)
+            await eventually(lambda: has_called(calls_before + 1))
             stand_in.fault = Fault.NONE
             (await client.put(INSTANCE_KIND, "a", INSTANCE, 0)).unwrap()
             async with asyncio.timeout(5.0):
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -1,4 +1,4 @@
-"""Control data from daemon to daemon: the tree, the cache, and relays that fail."""
+"""Distribution of control data between daemons: the tree, the cache and failed relays."""
 
 import asyncio
 import datetime
@@ -40,7 +40,7 @@
 from test.test_tree_model import depth_of
 
 
-def test_the_tree_reaches_everyone_without_rings_and_with_bounded_fan_out():
+def test_the_tree_reaches_all_daemons_without_cycles_and_with_bounded_fanout():
     order = relay_order(f"daemon-{number}" for number in range(1158))
     first_parents = [parents_of(name, order)[0] for name in order[WATCHERS:]]
     assert all(parents_of(name, order) == [] for name in order[:WATCHERS])
@@ -50,11 +50,11 @@
     assert depth_of(order) == 6
 
 
-def test_who_is_not_listed_watches_for_itself():
+def test_an_unlisted_daemon_is_a_watcher():
     assert is_watcher("stranger", ["a", "b", "c"])
 
 
-def test_what_reaches_any_watcher_reaches_all_whichever_of_them_are_gone():
+def test_an_update_at_any_watcher_reaches_all_running_ones():
     orders = {
         zone: relay_order(f"{zone}-{number}" for number in range(9)) for zone in ("a", "b", "c")
     }
@@ -63,18 +63,18 @@
         name for order in orders.values() for name in order[:WATCHERS]
     )
     for size in range(1, len(ring) + 1):
-        for alive in itertools.combinations(ring, size):
-            first = {
-                name: next(p for p in [*ring_parents_of(name, ring), name] if p in alive)
-                for name in alive
+        for running in itertools.combinations(ring, size):
+            first_parents = {
+                name: next(p for p in [*ring_parents_of(name, ring), name] if p in running)
+                for name in running
             }
-            reached = {alive[0]}
-            for _ in alive:
-                reached |= {name for name, parent in first.items() if parent in reached}
-            assert reached == set(alive)
+            reached = {running[0]}
+            for _ in running:
+                reached |= {name for name, parent in first_parents.items() if parent in reached}
+            assert reached == set(running)
 
 
-def test_a_watcher_follows_those_before_it_round_the_ring():
+def test_a_watcher_follows_its_predecessors_in_the_ring():
     ring = watcher_ring({"a": ["a-1", "a-2"], "b": ["b-1"]})
     assert ring_parents_of("a-1", ring) == ["b-1", "a-2"]
     assert ring_parents_of("b-1", ring) == ["a-2", "a-1"]
@@ -84,7 +84,7 @@
     return Instance(name, "papers", "one", HOST, 1, 2, 3)
 
 
-def filled_cache(version=1):
+def cache_with_bundles(version=1):
     cache = FeedCache()
     changes = [ListChange(n, f"papers-{n}", instance(f"papers-{n}")) for n in (1, 2)]
     cache.apply_list(2, changes, whole=True)
@@ -95,18 +95,18 @@
     return cache
 
 
-def test_a_difference_leads_to_the_very_bundle():
+def test_applying_a_delta_gives_the_exact_bundle():
     old = bundle()
     new = bundle(BUNDLE.replace("slots = 4", "slots = 9") + "\n[pool other]\n", 2)
-    back = bundle(version=3)
-    forth = delta_between(old, new, Head(2, new.digest()), ())
-    assert apply_delta(old, forth) == new
-    assert apply_delta(new, delta_between(new, back, Head(3, back.digest()), ())) == back
-    assert len(msgspec.msgpack.encode(forth)) < len(msgspec.msgpack.encode(new))
+    third = bundle(version=3)
+    delta = delta_between(old, new, Head(2, new.digest()), ())
+    assert apply_delta(old, delta) == new
+    assert apply_delta(new, delta_between(new, third, Head(3, third.digest()), ())) == third
+    assert len(msgspec.msgpack.encode(delta)) < len(msgspec.msgpack.encode(new))
 
 
-def test_a_follower_gets_what_it_lacks_and_no_more():
-    cache = filled_cache(version=3)
+def test_a_follower_gets_only_what_it_lacks():
+    cache = cache_with_bundles(version=3)
     new_follower = cache.since(Cursor("new"))
     assert new_follower.whole and len(new_follower.changes) == 2
     assert new_follower.signed is not None
@@ -115,58 +115,58 @@
     behind = cache.since(Cursor("behind", bundle=1, listed=2))
     assert behind.signed is None
     assert [delta.base for delta in behind.deltas] == [1, 2]
-    follower = filled_cache(version=1)
+    follower = cache_with_bundles(version=1)
     assert follower.bundle_after_deltas(behind.deltas) == cache.bundle
     assert FeedCache().bundle_after_deltas(behind.deltas) is None
 
 
 def test_list_changes_reach_a_follower_in_order():
-    cache = filled_cache()
+    cache = cache_with_bundles()
     cache.apply_list(5, [ListChange(5, "papers-1", None)], whole=False)
     update = cache.since(Cursor("behind", bundle=1, listed=2))
     assert not update.whole
     assert update.changes == (ListChange(5, "papers-1", None),)
 
 
-def test_a_change_that_the_list_holds_already_sets_nothing_back():
+def test_a_change_that_the_list_holds_already_is_ignored():
     cache = FeedCache()
     newer = msgspec.structs.replace(instance("papers-1"), incarnation=2)
     cache.apply_list(3, [ListChange(6, "papers-1", newer)], whole=True)
-    again = [ListChange(5, "papers-1", None), ListChange(6, "papers-1", newer)]
-    taken = cache.apply_list(
-        6, [*again, ListChange(7, "papers-2", instance("papers-2"))], whole=False
+    repeated = [ListChange(5, "papers-1", None), ListChange(6, "papers-1", newer)]
+    applied = cache.apply_list(
+        6, [*repeated, ListChange(7, "papers-2", instance("papers-2"))], whole=False
     )
-    assert [change.version for change in taken] == [6, 7]
+    assert [change.version for change in applied] == [6, 7]
     assert cache.instances["papers-1"] == newer
 
 
-def test_what_another_way_has_brought_is_not_told_again():
-    """Told again, an instance that has come and gone would be back for a moment."""
-    cache = filled_cache()
-    came_and_went = [ListChange(3, "c", instance("c")), ListChange(4, "c", None)]
-    cache.apply_list(4, came_and_went, whole=False)
+def test_changes_received_from_two_sources_are_applied_once():
+    """Applied again, an instance that was added and removed would reappear for a moment."""
+    cache = cache_with_bundles()
+    added_and_removed = [ListChange(3, "c", instance("c")), ListChange(4, "c", None)]
+    cache.apply_list(4, added_and_removed, whole=False)
     last = ListChange(5, "d", instance("d"))
-    assert cache.apply_list(5, [*came_and_went, last], whole=False) == [last]
+    assert cache.apply_list(5, [*added_and_removed, last], whole=False) == [last]
 
 
-async def zone_of(installation, count):
+async def start_zone(installation, count):
     for number in range(count):
         await installation.add(f"papers-{number}")
     await installation.release(bundle())
     await installation.ready()
 
 
-def roles(installation):
+def watchers_and_followers(installation):
     nodes = installation.nodes.values()
     watching = [node for node in nodes if node.daemon.feed.is_watcher]
     return watching, [node for node in nodes if not node.daemon.feed.is_watcher]
 
 
-def test_only_the_watchers_wait_at_the_platform(tmp_path):
+def test_only_watchers_call_the_platform(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
-            await zone_of(installation, 7)
-            watching, following = roles(installation)
+            await start_zone(installation, 7)
+            watching, following = watchers_and_followers(installation)
             assert len(watching) == WATCHERS
             calls = [node.daemon.feed.client.calls for node in following]
             for version in (2, 3, 4):
@@ -177,24 +177,24 @@
     run(main)
 
 
-def test_watchers_read_differences_and_the_whole_only_where_one_is_missing(tmp_path):
+def test_watchers_read_deltas_and_the_whole_bundle_only_if_none_applies(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
-            await zone_of(installation, 2)
+            await start_zone(installation, 2)
             reads = []
             for node in installation.nodes.values():
-                whole = node.daemon.feed.cache_writer.apply_stored_bundle
+                apply = node.daemon.feed.cache_writer.apply_stored_bundle
                 node.daemon.feed.cache_writer.apply_stored_bundle = (
-                    lambda head, stored, whole=whole: (
+                    lambda head, stored, apply=apply: (
                         reads.append(head.version),
-                        whole(head, stored),
+                        apply(head, stored),
                     )
                 )
             await installation.release(bundle(version=2))
             await installation.ready(2)
             assert not reads
             for node in installation.nodes.values():
-                node.daemon.feed.cache.bundle = bundle(version=1)  # no difference fits this
+                node.daemon.feed.cache.bundle = bundle(version=1)  # no delta applies to it
             await installation.release(bundle(version=3))
             await installation.ready(3)
             assert sorted(reads) == [3, 3]
@@ -202,19 +202,20 @@
     run(main)
 
 
-def test_followers_of_a_dead_relay_find_another(tmp_path):
+def test_followers_of_a_failed_relay_switch_to_another(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
-            await zone_of(installation, 8)
-            watching, _ = roles(installation)
+            await start_zone(installation, 8)
+            watching, _ = watchers_and_followers(installation)
             await eventually(lambda: _has_followers(watching[0]))
-            victim = watching[0]
-            del installation.nodes[victim.instance.name]
-            victim.daemon.feed.relay._server.close()
-            victim.daemon.feed.cache.store_bundle = lambda *news: None  # it learns no more
+            failed_watcher = watching[0]
+            del installation.nodes[failed_watcher.instance.name]
+            failed_watcher.daemon.feed.relay._server.close()
+            # It receives no more bundles.
+            failed_watcher.daemon.feed.cache.store_bundle = lambda *update: None
             await installation.release(bundle(version=2))
             await eventually(lambda: _all_have(installation, 2))
-            installation.nodes[victim.instance.name] = victim
+            installation.nodes[failed_watcher.instance.name] = failed_watcher
 
     run(main)
 
@@ -228,11 +229,11 @@
     return all(state.version == version for state in states)
 
 
-def test_a_relay_cannot_bring_in_a_bundle_of_its_own(tmp_path):
+def test_a_relay_cannot_distribute_a_forged_bundle(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
-            await zone_of(installation, 4)
-            watching, following = roles(installation)
+            await start_zone(installation, 4)
+            watching, following = watchers_and_followers(installation)
             forged = bundle(BUNDLE.replace("slots = 4", "slots = 4000"), 2)
             head = Head(2, forged.digest())
             signed = SignedBundle(forged.canonical().decode())
@@ -240,9 +241,9 @@
                 node.daemon.feed.cache.store_bundle(head, signed, forged)
                 node.daemon.feed.relay.notify_followers()
             await installation.release(bundle(version=2))
-            real = bundle(version=2).digest()
-            # The true version 2 comes by way of the platform, which the followers then ask.
-            await eventually(lambda: _has_digest(following, real))
+            signed_digest = bundle(version=2).digest()
+            # The followers read the signed version 2 from the platform.
+            await eventually(lambda: _has_digest(following, signed_digest))
 
     run(main)
 
@@ -254,10 +255,10 @@
     return all(head.digest == digest for head in heads)
 
 
-def test_a_zone_keeps_its_version_through_an_outage_and_catches_up(tmp_path):
+def test_a_zone_keeps_its_version_during_an_outage_and_updates_after_it(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
-            await zone_of(installation, 5)
+            await start_zone(installation, 5)
             installation.platform.faults = Faults(down=True)
             node = next(iter(installation.nodes.values()))
             calls = installation.platform.calls["read"]
@@ -271,19 +272,18 @@
     run(main)
 
 
-VIEWS = "[kind papers/view]\nrepeatable = yes\n"
+VIEW_KIND = "[kind papers/view]\nrepeatable = yes\n"
 
 
-def test_a_reader_without_the_list_finds_daemons_that_moved_while_it_started(tmp_path):
-    """What happened: the second reader of a zone started, and read the list while all that it
-    was to follow, and its own entry, stood at the ports of lives before. No one brought it a
-    later list, so it answered every request with `unreachable` for as long as it ran.
+def test_a_watcher_that_does_not_watch_the_list_learns_new_ports_after_its_start(tmp_path):
+    """Guards against a second watcher that keeps a list with the ports of previous starts and
+    refuses every request with `unreachable`.
     """
 
     async def main():
         async with Installation(tmp_path) as installation:
-            await zone_of(installation, 2)
-            await installation.release(bundle(BUNDLE + VIEWS, 2))
+            await start_zone(installation, 2)
+            await installation.release(bundle(BUNDLE + VIEW_KIND, 2))
             await installation.ready(2)
             first, second = relay_order(installation.nodes)
             for name in (first, second):
@@ -294,10 +294,10 @@
             moved = {name: node.instance for name, node in installation.nodes.items()}
             cache = installation.nodes[second].daemon.feed.cache
 
-            async def knows_the_new_ports():
+            async def has_new_ports():
                 return cache.instances == moved
 
-            await eventually(knows_the_new_ports)
+            await eventually(has_new_ports)
             await installation.ready(2)
             entry = installation.nodes[second].entry
             sent = await installation.caller().send(entry, "papers", "view", once=False)
@@ -306,10 +306,9 @@
     run(main)
 
 
-def test_readers_that_follow_each_other_find_daemons_that_moved(tmp_path, monkeypatch):
-    """What happened: the first readers of both zones came back at other ports at once. The
-    second ones, which do not watch the list, followed each other: their heads stayed fresh, and
-    their list old, for as long as they ran.
+def test_watchers_that_follow_each_other_learn_new_ports(tmp_path, monkeypatch):
+    """Guards against second watchers that keep an old list because they follow each other while
+    the first watchers of both zones restart at other ports.
     """
     monkeypatch.setattr(parentfollower, "list_stale_timeout", lambda list_watch: 1.0)
 
@@ -319,26 +318,26 @@
                 await installation.add(name, zone=name[0])
             await installation.release(bundle())
             await installation.ready()
-            firsts = [relay_order((f"{zone}-0", f"{zone}-1"))[0] for zone in "ab"]
-            for name in firsts:
+            first_watchers = [relay_order((f"{zone}-0", f"{zone}-1"))[0] for zone in "ab"]
+            for name in first_watchers:
                 installation.nodes[name].daemon.stop()
-            await asyncio.gather(*(installation.nodes[name].task for name in firsts))
-            for name in firsts:
+            await asyncio.gather(*(installation.nodes[name].task for name in first_watchers))
+            for name in first_watchers:
                 await installation.start_again(name)
             moved = {name: node.instance for name, node in installation.nodes.items()}
 
-            async def all_know_the_new_ports():
+            async def have_all_new_ports():
                 nodes = installation.nodes.values()
                 return all(node.daemon.feed.cache.instances == moved for node in nodes)
 
-            await eventually(all_know_the_new_ports)
+            await eventually(have_all_new_ports)
 
     run(main)
 
 
 @pytest.fixture
 def authorities(tmp_path):
-    """Files of two daemons, each of an authority of its own."""
+    """The TLS files of two daemons, each with its own certificate authority."""
     return [make_tls_files(tmp_path, name) for name in ("ours", "theirs")]
 
 
@@ -379,7 +378,7 @@
     return files
 
 
-def test_daemons_talk_only_to_those_of_their_own_authority(authorities):
+def test_daemons_connect_only_to_daemons_of_their_own_authority(authorities):
     async def main():
         ours, theirs = (peer_tls(files) for files in authorities)
         server = Server(echo, ours.server)
@@ -388,10 +387,10 @@
         await connection.start_with_body(RequestHead(b"GET", b"/a", []), b"")
         assert await (await connection.response()).body.read_up_to(10) == b"/a "
         assert await ConnectionPool(HOST, server.port, 1, theirs.client).acquire(5.0) is None
-        bare = ssl.create_default_context()
-        bare.check_hostname = False
-        bare.verify_mode = ssl.CERT_NONE
-        reader, writer = await asyncio.open_connection(HOST, server.port, ssl=bare)
+        insecure = ssl.create_default_context()
+        insecure.check_hostname = False
+        insecure.verify_mode = ssl.CERT_NONE
+        reader, writer = await asyncio.open_connection(HOST, server.port, ssl=insecure)
         writer.write(b"GET /a HTTP/1.1\r\n\r\n")
         with pytest.raises((ssl.SSLError, ConnectionError)):
             if not await reader.read(100):
