--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -1,4 +1,4 @@
-"""The documents' own claims that a program can check."""
+"""The pages in docs/ must agree with the code."""
 
 import ast
 import configparser
@@ -22,7 +22,7 @@
     assert "Answered(status=200)" in str(printed)
 
 
-def test_every_metric_is_in_the_operators_page():
+def test_every_metric_is_in_the_operations_page():
     text = (DOCS / "OPERATIONS.md").read_text()
     metrics = Metrics("papers-1", "wien-a")
     for name in metrics.registry.collectors:
@@ -41,41 +41,45 @@
     return events
 
 
-def rows(text, head):
-    """The first cells of the table whose head begins so."""
-    table = text[text.index(f"| {head} |") :].split("\n\n")[0]
+def first_column(text, header):
+    """The first cells of the table whose header row starts with `header`."""
+    table = text[text.index(f"| {header} |") :].split("\n\n")[0]
     return [line.split("|")[1] for line in table.splitlines()[2:]]
 
 
-def test_every_event_of_the_handbook_is_logged():
+def test_every_event_of_the_operations_page_is_logged():
     text = (DOCS / "OPERATIONS.md").read_text()
-    named = {name for cell in rows(text, "event") for name in re.findall(r"`([a-z-]+)`", cell)}
+    named = {
+        name
+        for cell in first_column(text, "event")
+        for name in re.findall(r"`([a-z-]+)`", cell)
+    }
     assert named
     assert named <= logged_events(), named - logged_events()
 
 
-def test_every_event_above_debug_is_in_the_handbook():
+def test_every_logged_event_is_in_the_operations_page():
     text = (DOCS / "OPERATIONS.md").read_text()
     for event in logged_events() - {"older-bundle-ignored", "older-zone-drains-ignored"}:
         assert f"`{event}`" in text, event
 
 
-def test_every_metric_of_the_handbook_exists():
+def test_every_metric_of_the_operations_page_exists():
     text = (DOCS / "OPERATIONS.md").read_text()
-    known = set(Metrics("papers-1", "wien-a").registry.collectors)
-    assert set(re.findall(r"`(wheatslip_[a-z_]+)`", text)) <= known
+    existing = set(Metrics("papers-1", "wien-a").registry.collectors)
+    assert set(re.findall(r"`(wheatslip_[a-z_]+)`", text)) <= existing
 
 
-def test_every_module_of_the_architecture_exists():
+def test_every_module_of_the_architecture_page_exists():
     text = (DOCS / "ARCHITECTURE.md").read_text()
     named = set(re.findall(r"`([a-z]+/[a-z]*)`", text))
     assert named
     for name in named:
-        places = [folder / name for folder in (LIBRARY, DAEMON, ROOT)]
-        assert any(p.is_dir() or p.with_suffix(".py").is_file() for p in places), name
+        paths = [folder / name for folder in (LIBRARY, DAEMON, ROOT)]
+        assert any(p.is_dir() or p.with_suffix(".py").is_file() for p in paths), name
 
 
-def test_every_setting_of_the_handbook_exists():
+def test_every_setting_of_the_operations_page_exists():
     text = (DOCS / "OPERATIONS.md").read_text()
     defaults = configparser.ConfigParser(interpolation=None)
     defaults.read(DAEMON / "default.ini")
@@ -89,18 +93,18 @@
     text = (DOCS / "EMBEDDING.md").read_text()
     for cell in re.findall(r"^\| [a-z ]+ \| (`[^|]*`) \|", text, re.MULTILINE):
         for name in re.findall(r"`([a-z.]+)`", cell):
-            place = LIBRARY / name.replace(".", "/")
-            assert place.is_dir() or place.with_suffix(".py").is_file(), name
+            path = LIBRARY / name.replace(".", "/")
+            assert path.is_dir() or path.with_suffix(".py").is_file(), name
 
 
 def test_every_test_that_the_pages_name_exists():
     files = list((ROOT / "test").glob("test_*.py"))
-    known = {path.name for path in files}
+    existing = {path.name for path in files}
     for path in files:
-        known |= set(re.findall(r"def (test_\w+)\(", path.read_text()))
+        existing |= set(re.findall(r"def (test_\w+)\(", path.read_text()))
     for page in ("INVARIANTS.md", "PLATFORM.md"):
         named = set(re.findall(r"`(?:test/)?(test_[\w.]+\*?)`", (DOCS / page).read_text()))
         assert named, page
         for name in named:
-            found = [one for one in known if fnmatchcase(one, name)]
-            assert found, (page, name)
+            matches = [test for test in existing if fnmatchcase(test, name)]
+            assert matches, (page, name)
--- a/test/test_forms.py
+++ b/test/test_forms.py
@@ -1,13 +1,11 @@
-"""What must not change by itself: the bytes of each message, settings, commands, metrics, log
-events and stored data, held by files under `test/forms/`.
+"""Messages, settings, commands, metrics, log events and stored data must keep their form.
 
-The files were written by an earlier version of the code. Each form is read from its file and
-written again by the code as it is now, or made anew by it, and must be the same. A new form is
-added beside the old ones. What a file holds stays: during an update, daemons of two versions
-run side by side.
+The files in `test/forms/` were written by an earlier version of the code. The current code
+reads each form and writes it again, or creates it, and the result must be the same.
+Existing forms never change, because daemons of two versions run side by side during an update;
+new forms are added to them.
 
-All names of the code that this module needs are imported at its head, so that a change of a
-name changes nothing below.
+This module imports all names of the code at its head, so that a rename changes only an import.
 """
 
 import ast
@@ -35,8 +33,7 @@
 from wheatslip.config.head import Head
 from wheatslip.config.signedbundle import SignedBundle
 from wheatslip.config.zonedrains import StoredDrain, decode_drain
-from wheatslip.distribution.chunks import Chunk, Joiner
-from wheatslip.distribution.chunks import split_message as cut
+from wheatslip.distribution.chunks import Chunk, Joiner, split_message
 from wheatslip.distribution.feedcache import Cursor, Update
 from wheatslip.hop import decode_hop, decode_load, decode_refusal, encode, encode_outcome
 from wheatslip.outcome import Answered, NotRun, Reason, Unknown
@@ -81,13 +78,13 @@
     return msgspec.json.encode(value).decode()
 
 
-def through(cls: type) -> Callable[[str], str]:
-    """Read and write a text of JSON as a struct."""
+def json_round_trip(cls: type) -> Callable[[str], str]:
+    """Return a function that decodes JSON as a struct and encodes it again."""
     return lambda text: as_json(msgspec.json.decode(text, type=cls))
 
 
-def as_bytes(cls: type) -> Callable[[str], str]:
-    """Read and write a control message, in hex, as the relay's codec does."""
+def codec_round_trip(cls: type) -> Callable[[str], str]:
+    """Return a function that decodes and encodes a control message in hex, by `StructCodec`."""
     codec = StructCodec()
     return lambda text: codec.encode(codec.decode(bytes.fromhex(text), cls), cls).hex()
 
@@ -99,7 +96,7 @@
     "instance": Instance,
     "zone-drain": StoredDrain,
 }
-# How each kind of message is read and written again.
+# Decodes and encodes a message of each kind.
 MESSAGES: dict[str, Callable[[str], str]] = {
     "hop": lambda text: encode(decode_hop(text.encode())).decode(),
     "load": lambda text: encode(decode_load(text.encode())).decode(),
@@ -107,62 +104,62 @@
         decode_refusal(text.encode()) or Answered(200)
     ).decode(),
     "bundle": lambda text: decode_bundle(text.encode()).unwrap().canonical().decode(),
-    "signed-bundle": through(SignedBundle),
-    "head": through(Head),
-    "delta": through(BundleDelta),
-    "zone-drain": through(StoredDrain),
+    "signed-bundle": json_round_trip(SignedBundle),
+    "head": json_round_trip(Head),
+    "delta": json_round_trip(BundleDelta),
+    "zone-drain": json_round_trip(StoredDrain),
     "instance": lambda text: as_json(decode_instance(text.encode()).unwrap()),
-    "heartbeat": through(Heartbeat),
-    "write": through(WriteBody),
-    "object": through(StoredObject),
-    "listing": through(Listing),
-    "cursor": as_bytes(Cursor),
-    "update": as_bytes(Update),
-    "piece": as_bytes(Chunk),
-    "end-reports": as_bytes(EndReports),
-    "stored-ends": through(StoredEnds),
+    "heartbeat": json_round_trip(Heartbeat),
+    "write": json_round_trip(WriteBody),
+    "object": json_round_trip(StoredObject),
+    "listing": json_round_trip(Listing),
+    "cursor": codec_round_trip(Cursor),
+    "update": codec_round_trip(Update),
+    "piece": codec_round_trip(Chunk),
+    "end-reports": codec_round_trip(EndReports),
+    "stored-ends": json_round_trip(StoredEnds),
 }
 
 
-def drain_signed(text: str) -> str:
-    """`ZONE STORED`: what is signed of a drain."""
+def drain_signed_text(text: str) -> str:
+    """Return the signed text of a drain; `text` is its zone, a space and its stored JSON."""
     zone, _, stored = text.partition(" ")
     return decode_drain(zone, stored.encode()).unwrap().signed_bytes().decode()
 
 
-def bundle_file_read(text: str) -> Form:
-    found = parse_bundle(text, "a.ini")
-    if found.is_err():
-        return [str(problem) for problem in found.err_value]
-    return found.ok_value.canonical().decode()
+def parse_bundle_file(text: str) -> Form:
+    parsed = parse_bundle(text, "a.ini")
+    if parsed.is_err():
+        return [str(problem) for problem in parsed.err_value]
+    return parsed.ok_value.canonical().decode()
 
 
-def pieces_of(text: str) -> list[str]:
-    """`COUNT`: the pieces, in hex, of a message of so many bytes, half of which can be packed.
+def encode_chunks(text: str) -> list[str]:
+    """Return the encoded chunks of a message of `text` bytes, half of which are compressible.
 
-    Long ones stand as a digest. The pieces must make up the message again.
+    A chunk is in hex, or a digest if it is long. Joining the chunks must give the message.
     """
     count = int(text)
     message = bytes(count // 2) + Random(SEED).randbytes(count - count // 2)
-    joiner, codec, found = Joiner(), StructCodec(), []
-    for piece in cut(message):
-        joined = joiner.add(piece).unwrap()
-        data = codec.encode(piece, Chunk)
-        found.append(data.hex() if len(data) < 100 else digest(data))
+    joiner, codec, encoded = Joiner(), StructCodec(), []
+    for chunk in split_message(message):
+        joined = joiner.add(chunk).unwrap()
+        data = codec.encode(chunk, Chunk)
+        encoded.append(data.hex() if len(data) < 100 else digest(data))
     assert joined == message
-    return found
+    return encoded
 
 
-# How outside input is read: the input and what it becomes stand in the file.
+# Decodes input of each kind from outside; the file has the input and the result.
 READINGS: dict[str, Callable[[str], Form]] = {
     "short-hop": MESSAGES["hop"],
     "fleet-heartbeat": lambda text: as_json(decode_heartbeat(text.encode())),
     "fleet-configuration": lambda text: (
         read_configuration(text.encode()).unwrap().canonical().decode()
     ),
-    "drain-signed": drain_signed,
-    "bundle-file": bundle_file_read,
-    "pieces": pieces_of,
+    "drain-signed": drain_signed_text,
+    "bundle-file": parse_bundle_file,
+    "pieces": encode_chunks,
 }
 
 
@@ -171,7 +168,7 @@
 
 
 class Recorder:
-    """Stands for a connection and keeps what is sent."""
+    """A connection that records the sent bytes."""
 
     def __init__(self) -> None:
         self.sent = b""
@@ -180,7 +177,7 @@
         self.sent += data
 
 
-async def refusal(port: str, outcome: NotRun | Unknown) -> str:
+async def refusal_response(port: str, outcome: NotRun | Unknown) -> str:
     extra = {"peer": [(b"wheatslip-load", b"[1,2,3,0.5,6,false,1.0]")]}.get(port)
     body = Body(lambda: None, lambda: None)
     body.finish()
@@ -190,11 +187,11 @@
     return connection.sent.decode()
 
 
-def refusals() -> Form:
-    """What callers and other daemons get for each reason, by port and outcome."""
+def refusal_forms() -> Form:
+    """The responses to callers and other daemons for each reason, by port and outcome."""
     return {
         port: {
-            f"{name} {reason}": asyncio.run(refusal(port, outcome))
+            f"{name} {reason}": asyncio.run(refusal_response(port, outcome))
             for reason in Reason
             for name, outcome in (
                 ("not-run", NotRun(reason)),
@@ -206,32 +203,32 @@
     }
 
 
-def flat(value: object) -> Iterator[str]:
-    """The values in settings without their names."""
+def leaf_values(value: object) -> Iterator[str]:
+    """The values of all settings, without names."""
     if dataclasses.is_dataclass(value):
         for field in dataclasses.fields(value):
-            yield from flat(getattr(value, field.name))
+            yield from leaf_values(getattr(value, field.name))
     else:
         yield str(value.value if isinstance(value, Enum) else value)
 
 
-def settings_of(default: str, base: dict[str, dict[str, str]], load: Loader) -> Form:
-    """Each key with its default, and what comes of some values: the error, or the values that
-    settings have then and did not have before.
+def settings_form(default: str, base: dict[str, dict[str, str]], load: Loader) -> Form:
+    """Each key with its default, and the result of setting it to each of `VALUES`: the errors,
+    or the values of the settings that differ from the defaults.
     """
 
     def result(section: str, key: str, value: str) -> Form:
         sections = base | {section: base.get(section, {}) | {key: value}}
-        found = load(as_ini(sections))
-        if found.is_err():
-            return [str(problem) for problem in found.err_value]
-        return sorted((Counter(flat(found.ok_value)) - usual).elements())
+        loaded = load(as_ini(sections))
+        if loaded.is_err():
+            return [str(problem) for problem in loaded.err_value]
+        return sorted((Counter(leaf_values(loaded.ok_value)) - default_values).elements())
 
-    usual = Counter(flat(load(as_ini(base)).unwrap()))
+    default_values = Counter(leaf_values(load(as_ini(base)).unwrap()))
     parser = configparser.ConfigParser(interpolation=None, delimiters=("=",))
     parser.read_string(default)
     return {
-        "values": sorted(usual.elements()),
+        "values": sorted(default_values.elements()),
         "defaults": {name: dict(parser.items(name)) for name in parser.sections()},
         "given": {
             f"{name} {key}": {value: result(name, key, value) for value in VALUES}
@@ -258,7 +255,7 @@
         "platform": {"address": "10.0.0.9:80"},
         "operators": {"keyring": "keys"},
     }
-    return settings_of(default_text(), base, lambda text: parse_settings(text, "a.ini"))
+    return settings_form(default_text(), base, lambda text: parse_settings(text, "a.ini"))
 
 
 def operators_settings(folder: Path) -> Form:
@@ -269,39 +266,39 @@
         (folder / "a.ini").write_text(text)
         return load_operators_settings(folder / "a.ini")
 
-    found = settings_of(default, base, load)
-    return json.loads(json.dumps(found).replace(str(folder), "."))
+    form = settings_form(default, base, load)
+    return json.loads(json.dumps(form).replace(str(folder), "."))
 
 
-def command_of(command: Any) -> Form:
-    """A command's options and arguments, and the commands below it."""
-    options, below = [], {}
+def command_form(command: Any) -> Form:
+    """The options, arguments and subcommands of a command."""
+    options, subcommands = [], {}
     for argument in command.arguments:
         if hasattr(argument, "options"):
-            below = {name: command_of(each) for name, each in argument.options.items()}
+            subcommands = {name: command_form(each) for name, each in argument.options.items()}
             continue
         names = [*(argument.short or []), *(argument.long or [])]
         options.append([*sorted(names or [argument.value_name]), bool(argument.required)])
-    return {"options": sorted(options), "commands": below}
+    return {"options": sorted(options), "commands": subcommands}
 
 
-def commands() -> Form:
-    return {name: command_of(cappa.collect(cls)) for name, cls in COMMANDS.items()}
+def command_forms() -> Form:
+    return {name: command_form(cappa.collect(cls)) for name, cls in COMMANDS.items()}
 
 
 def exit_code(main: Callable[[], None], line: str) -> object:
     before, sys.argv = sys.argv, line.split()
     try:
         main()
-    except SystemExit as stop:
-        return stop.code
+    except SystemExit as error:
+        return error.code
     finally:
         sys.argv = before
     return "none"
 
 
 def exit_codes(folder: Path) -> Form:
-    """Those that need no platform, or one that is down."""
+    """The exit codes of commands without a platform."""
     settings = folder / "b.ini"
     (folder / "good.ini").write_text(BUNDLE)
     settings.write_text(
@@ -329,33 +326,35 @@
     ]
 
 
-def sources() -> Iterator[ast.AST]:
-    """The syntax trees of all that runs at the users'."""
+def source_trees() -> Iterator[ast.AST]:
+    """The syntax trees of the production modules."""
     for folder in SOURCES:
         for path in (ROOT / folder).rglob("*.py"):
             if "standins" not in str(path):
                 yield ast.parse(path.read_text())
 
 
-def log_events() -> dict[str, list[str]]:
-    """`LEVEL EVENT` with the fields of all its calls."""
-    found: dict[str, set[str]] = {}
-    for tree in sources():
+def logged_events() -> dict[str, list[str]]:
+    """The names of the fields in all calls of each `LEVEL EVENT`."""
+    events: dict[str, set[str]] = {}
+    for tree in source_trees():
         for node in ast.walk(tree):
             if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
                 continue
-            of_logs = ast.unparse(node.func.value) == "logs" and node.func.attr in LEVELS
-            if of_logs and node.args and isinstance(node.args[0], ast.Constant):
-                fields = {word.arg for word in node.keywords if word.arg}
-                found.setdefault(f"{node.func.attr} {node.args[0].value}", set()).update(fields)
-    return {event: sorted(found[event]) for event in sorted(found)}
+            is_log_call = ast.unparse(node.func.value) == "logs" and node.func.attr in LEVELS
+            if is_log_call and node.args and isinstance(node.args[0], ast.Constant):
+                fields = {keyword.arg for keyword in node.keywords if keyword.arg}
+                events.setdefault(f"{node.func.attr} {node.args[0].value}", set()).update(
+                    fields
+                )
+    return {event: sorted(events[event]) for event in sorted(events)}
 
 
 def header_names() -> list[str]:
-    """Our own headers, each a constant somewhere."""
+    """The header names of wheatslip, found as constants in the code."""
     constants = {
         node.value
-        for tree in sources()
+        for tree in source_trees()
         for node in ast.walk(tree)
         if isinstance(node, ast.Constant) and isinstance(node.value, bytes)
     }
@@ -366,30 +365,32 @@
     return {name: digest((ROOT / name).read_bytes()) for name in names}
 
 
-def pages(folder: Path) -> Form:
-    """The samples on a daemon's page of metrics, without values, and the fields of its status
-    and health, after a request that was answered and one that was not.
+def page_forms(folder: Path) -> Form:
+    """The metrics of a daemon without their values, and the fields of its status and health,
+    after one request that succeeds and one that is refused.
     """
-    found: dict[str, Form] = {}
+    forms: dict[str, Form] = {}
     events: list[dict[str, Any]] = []
     eliot.add_destinations(events.append)
 
     async def scenario() -> None:
-        async with Installation(folder) as place:
-            node = await place.add("a")
-            await place.release(bundle())
-            await place.ready()
-            # eliot passes on what was logged before, also by the daemons of other tests.
-            started = [one for one in events if one.get("message_type") == "listening"]
+        async with Installation(folder) as installation:
+            node = await installation.add("a")
+            await installation.release(bundle())
+            await installation.ready()
+            # eliot also delivers earlier messages, such as those of other tests' daemons.
+            started = [event for event in events if event.get("message_type") == "listening"]
             port = started[-1]["pages_port"]
             entry = f"http://127.0.0.1:{node.entry}/"
             headers = {"authorization": "Bearer alpha-secret", "wheatslip-service": "papers"}
-            for each in (headers, {}):
-                async with place.session.get(entry, headers=each) as response:
+            for request_headers in (headers, {}):
+                async with installation.session.get(entry, headers=request_headers) as response:
                     await response.read()
             for page in ("metrics", "status", "health"):
-                async with place.session.get(f"http://127.0.0.1:{port}/{page}") as response:
-                    found[page] = [
+                async with installation.session.get(
+                    f"http://127.0.0.1:{port}/{page}"
+                ) as response:
+                    forms[page] = [
                         response.status,
                         response.content_type,
                         await response.text(),
@@ -399,35 +400,35 @@
         run(scenario)
     finally:
         eliot.remove_destination(events.append)
-    lines = found["metrics"][2].splitlines()
+    lines = forms["metrics"][2].splitlines()
     values = {line.rpartition(" ")[0] for line in lines if not line.startswith("#")}
     kinds = {line for line in lines if line.startswith("# TYPE")}
-    found["metrics"][2] = sorted(values - {""} | kinds)
-    found["status"][2] = sorted(json.loads(found["status"][2]))
-    return found
+    forms["metrics"][2] = sorted(values - {""} | kinds)
+    forms["status"][2] = sorted(json.loads(forms["status"][2]))
+    return forms
 
 
 @dataclasses.dataclass
 class RecordingStore:
-    """Answers each call with what stands in the file, and keeps what was asked."""
+    """A store that answers one call with the stored answer, and records the request."""
 
     answer: tuple[int, str]
-    asked: str = ""
+    request: str = ""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = dict(line.lower().split(": ", 1) for line in head[1:] if line)
         body = await reader.readexactly(int(headers.get("content-length", 0)))
-        self.asked = f"{head[0].removesuffix(' HTTP/1.1')} {body.decode()}"
+        self.request = f"{head[0].removesuffix(' HTTP/1.1')} {body.decode()}"
         status, text = self.answer
         data = text.encode()
-        head_back = f"HTTP/1.1 {status} -\r\ncontent-length: {len(data)}\r\n"
-        writer.write(head_back.encode() + b"connection: close\r\n\r\n" + data)
+        response_head = f"HTTP/1.1 {status} -\r\ncontent-length: {len(data)}\r\n"
+        writer.write(response_head.encode() + b"connection: close\r\n\r\n" + data)
         writer.close()
 
 
-async def store_call(form: Form) -> Form:
-    """What one call of a store's client asks for, and what it makes of the answer."""
+async def record_store_call(form: Form) -> Form:
+    """The request of one call of a store's client, and the result of the answer."""
     recorder = RecordingStore(tuple(form["answer"]))
     server = await asyncio.start_server(recorder.serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -438,21 +439,21 @@
     if name == "put":
         value = msgspec.json.decode(arguments[2], type=STORED[arguments[0]])
         arguments[2] = value
-    found = await getattr(client, name)(*arguments)
+    response = await getattr(client, name)(*arguments)
     await client.close()
     server.close()
-    result = as_json(found.ok_value) if found.is_ok() else "error"
-    return form | {"asked": recorder.asked, "result": result}
+    result = as_json(response.ok_value) if response.is_ok() else "error"
+    return form | {"asked": recorder.request, "result": result}
 
 
-def keys(folder: Path) -> Form:
-    """What a kept private key signs, and how new key files look."""
-    kept = load("keys.json")
-    for name, text in kept["files"].items():
+def key_forms(folder: Path) -> Form:
+    """The signatures by a stored private key, and the format of new key files."""
+    stored_keys = load("keys.json")
+    for name, text in stored_keys["files"].items():
         (folder / name).write_text(text)
     key = signing.load_private_key(folder / "anna.key")
-    signed_bundle = decode_bundle(kept["bundle"].encode()).unwrap()
-    zone, _, stored = kept["drain"].partition(" ")
+    signed_bundle = decode_bundle(stored_keys["bundle"].encode()).unwrap()
+    zone, _, stored = stored_keys["drain"].partition(" ")
     drain = signing.sign_drain(decode_drain(zone, stored.encode()).unwrap(), key)
     paths = signing.write_key_pair("moussa", folder)
     texts = [path.read_text().splitlines() for path in paths]
@@ -472,61 +473,63 @@
 
 
 def samples(name: str) -> list[tuple[str, Any]]:
-    return [(kind, sample) for kind, held in load(name).items() for sample in held]
+    return [(kind, sample) for kind, group in load(name).items() for sample in group]
 
 
 @pytest.mark.parametrize(("kind", "text"), samples("messages.json"))
-def test_messages_are_written_as_they_were(kind: str, text: str) -> None:
+def test_the_encoding_of_messages_is_unchanged(kind: str, text: str) -> None:
     assert MESSAGES[kind](text) == text
 
 
 @pytest.mark.parametrize(("kind", "pair"), samples("readings.json"))
-def test_outside_input_is_read_as_it_was(kind: str, pair: tuple[str, Form]) -> None:
+def test_the_decoding_of_input_is_unchanged(kind: str, pair: tuple[str, Form]) -> None:
     assert READINGS[kind](pair[0]) == pair[1]
 
 
 @pytest.mark.parametrize("form", load("store.json"))
-def test_stores_are_called_and_read_as_they_were(form: Form) -> None:
-    assert asyncio.run(store_call(form)) == form
+def test_the_calls_of_store_clients_are_unchanged(form: Form) -> None:
+    assert asyncio.run(record_store_call(form)) == form
 
 
-def test_refusals_look_as_they_did() -> None:
-    assert refusals() == load("refusals.json")
+def test_refusals_are_unchanged() -> None:
+    assert refusal_forms() == load("refusals.json")
 
 
-def test_keys_sign_and_are_kept_as_they_were(tmp_path: Path) -> None:
-    assert keys(tmp_path) == load("keys.json")["made"]
+def test_signatures_and_key_files_are_unchanged(tmp_path: Path) -> None:
+    assert key_forms(tmp_path) == load("keys.json")["made"]
 
 
-def test_settings_are_read_as_they_were(tmp_path: Path) -> None:
-    found = {"wheatslipd": daemon_settings(), "wheatslip": operators_settings(tmp_path)}
-    now = {f"{name} {part}": form for name, d in found.items() for part, form in d.items()}
-    assert now == load("settings.json")
+def test_settings_are_unchanged(tmp_path: Path) -> None:
+    settings = {"wheatslipd": daemon_settings(), "wheatslip": operators_settings(tmp_path)}
+    actual = {
+        f"{name} {part}": form for name, d in settings.items() for part, form in d.items()
+    }
+    assert actual == load("settings.json")
 
 
-def test_commands_take_what_they_took(tmp_path: Path) -> None:
-    held = load("commands.json")
-    assert commands() == held["commands"]
-    assert exit_codes(tmp_path) == held["exit-codes"]
+def test_commands_and_exit_codes_are_unchanged(tmp_path: Path) -> None:
+    expected = load("commands.json")
+    assert command_forms() == expected["commands"]
+    assert exit_codes(tmp_path) == expected["exit-codes"]
 
 
-def test_pages_show_what_they_showed(tmp_path: Path) -> None:
-    held, now = load("pages.json"), pages(tmp_path)
+def test_metrics_status_and_health_are_unchanged(tmp_path: Path) -> None:
+    expected, actual = load("pages.json"), page_forms(tmp_path)
     # A measurement of the backend server may add samples.
-    assert set(held["metrics"].pop()) <= set(now["metrics"].pop())
-    assert now == held
+    assert set(expected["metrics"].pop()) <= set(actual["metrics"].pop())
+    assert actual == expected
 
 
-def test_log_events_and_headers_are_still_there() -> None:
-    held = load("sources.json")
-    now = log_events()
-    for event, fields in held["log-events"].items():
-        assert set(fields) <= set(now.get(event, ["missing"])), event
-        assert event in now
-    assert set(held["headers"]) <= set(header_names())
-    assert held["relay-method"] == METHOD
+def test_log_events_and_headers_still_exist() -> None:
+    expected = load("sources.json")
+    actual = logged_events()
+    for event, fields in expected["log-events"].items():
+        assert set(fields) <= set(actual.get(event, ["missing"])), event
+        assert event in actual
+    assert set(expected["headers"]) <= set(header_names())
+    assert expected["relay-method"] == METHOD
 
 
-def test_files_of_the_users_platform_are_as_they_were() -> None:
-    held = load("sources.json")["files"]
-    assert file_digests(held) == held
+def test_files_of_the_users_platform_are_unchanged() -> None:
+    expected = load("sources.json")["files"]
+    assert file_digests(expected) == expected
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own parts: a course that its seed decides, a checker that finds each breach."""
+"""The parts of the soak test: the fault schedule drawn from a seed, and the checker."""
 
 import asyncio
 
@@ -15,35 +15,38 @@
 ZONES = ("one", "two")
 
 
-def request(request_id="r", reported=Reported.ANSWERED, once=True, wrong=""):
+def make_request(request_id="r", reported=Reported.ANSWERED, once=True, wrong=""):
     return Request(request_id, "alpha", "papers", once, reported, wrong=wrong)
 
 
-def ran(request_id="r", zone="one", at=1.0):
+def make_run(request_id="r", zone="one", at=1.0):
     return Ran(Run(request_id, ""), zone, at)
 
 
-def test_a_seed_decides_the_course():
+def test_a_seed_determines_the_schedule():
     assert draw(7, 60.0, INSTANCES, ZONES) == draw(7, 60.0, INSTANCES, ZONES)
     assert draw(7, 60.0, INSTANCES, ZONES) != draw(8, 60.0, INSTANCES, ZONES)
 
 
-def test_every_fault_comes_and_faults_overlap():
+def test_every_fault_occurs_and_faults_overlap():
     steps = [step for seed in range(20) for step in draw(seed, 60.0, INSTANCES, ZONES)]
     assert {step.fault for step in steps} == set(Fault)
-    course = draw(1, 60.0, INSTANCES, ZONES)
+    schedule = draw(1, 60.0, INSTANCES, ZONES)
     overlaps = sum(
-        one.at < other.at < one.end for one in course for other in course if other is not one
+        step.at < other.at < step.end
+        for step in schedule
+        for other in schedule
+        if other is not step
     )
-    assert overlaps >= len(course) / 3
+    assert overlaps >= len(schedule) / 3
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_a_course_leaves_an_instance_alone_and_a_calm_end(seed):
+def test_a_schedule_spares_one_instance_and_ends_without_faults(seed):
     steps = draw(seed, 40.0, INSTANCES, ZONES)
     for step in steps:
-        at_once = [s for s in steps if s.at <= step.at < s.end]
-        places = [s.where for s in at_once if s.where]
+        concurrent = [s for s in steps if s.at <= step.at < s.end]
+        places = [s.where for s in concurrent if s.where]
         assert len(places) == len(set(places))
         assert len([place for place in places if place in INSTANCES]) < len(INSTANCES)
         assert step.at >= FIRST and step.end <= 40.0 - LAST + 1e-9
@@ -65,15 +68,15 @@
     assert [step.where for step in updates if step.fault is Fault.STOP] == others
 
 
-def test_the_other_version_is_found_before_this_one(tmp_path):
+def test_the_other_version_precedes_this_one_on_the_python_path(tmp_path):
     (tmp_path / "packages" / "wheatslipd").mkdir(parents=True)
     assert python_path(tmp_path).startswith(f"{tmp_path.resolve()}/packages/wheatslipd")
 
 
-def test_a_good_history_breaks_nothing():
+def test_a_valid_history_breaks_no_promise():
     history = History(
-        requests=[request("r"), request("s", Reported.NOT_RUN)],
-        ran=[ran("r")],
+        requests=[make_request("r"), make_request("s", Reported.NOT_RUN)],
+        ran=[make_run("r")],
         observations=[
             Observation(1.0, "a", 0, 1),
             Observation(2.0, "a", 0, 2),
@@ -87,16 +90,20 @@
     assert broken_promises(history) == []
 
 
-FORGED = {
-    "ran twice": History(requests=[request()], ran=[ran(), ran()]),
-    "ran though told not": History(requests=[request(reported=Reported.NOT_RUN)], ran=[ran()]),
-    "answered but never run": History(requests=[request()]),
-    "wrong answer": History(requests=[request(wrong="another's")], ran=[ran()]),
+BREACHES = {
+    "ran twice": History(requests=[make_request()], ran=[make_run(), make_run()]),
+    "ran though told not": History(
+        requests=[make_request(reported=Reported.NOT_RUN)], ran=[make_run()]
+    ),
+    "answered but never run": History(requests=[make_request()]),
+    "wrong answer": History(requests=[make_request(wrong="another's")], ran=[make_run()]),
     "went back from version": History(
         observations=[Observation(1.0, "a", 0, 2), Observation(2.0, "a", 0, 1)]
     ),
     "emptied since": History(
-        requests=[request()], ran=[ran(at=2.5)], drained_zones=[DrainedZone("one", 2.0, 3.0)]
+        requests=[make_request()],
+        ran=[make_run(at=2.5)],
+        drained_zones=[DrainedZone("one", 2.0, 3.0)],
     ),
     "after a planned stop": History(stopped=[Stopped("a", 1)]),
     "servers had ended": History(ends=[1.0, 2.0, 3.0], fatal_runs=[1.0, 6.1, 6.2, 6.3, 6.4]),
@@ -104,10 +111,10 @@
 }
 
 
-@pytest.mark.parametrize("promise", FORGED)
-def test_a_forged_history_is_found_out(promise):
-    found = broken_promises(FORGED[promise])
-    assert len(found) == 1 and promise in found[0]
+@pytest.mark.parametrize("promise", BREACHES)
+def test_a_history_that_breaks_a_promise_is_detected(promise):
+    breaches = broken_promises(BREACHES[promise])
+    assert len(breaches) == 1 and promise in breaches[0]
 
 
 @pytest.mark.parametrize("seed", [3, 11])
@@ -115,5 +122,5 @@
     history = asyncio.run(soak(tmp_path, seed, 20.0))
     assert broken_promises(history) == []
     assert history.last_sent and any(
-        one.reported is Reported.ANSWERED for one in history.requests
+        request.reported is Reported.ANSWERED for request in history.requests
     )
