--- a/packages/wheatslip-cli/wheatslip_cli/zone_commands.py
+++ b/packages/wheatslip-cli/wheatslip_cli/zone_commands.py
@@ -107,7 +107,7 @@
         """Carry out the command."""
 
         async def step(client: ObjectClient, settings: Settings, counts: Counts) -> ExitCode:
-            match await ZoneDrainRequests(client).listed():
+            match await ZoneDrainRequests(client).list_drains():
                 case Ok(drains):
                     show([_row(drain, counts) for drain in drains], self.output)
                     return ExitCode.GOOD
--- a/packages/wheatslip/wheatslip/config/__init__.py
+++ b/packages/wheatslip/wheatslip/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: bundles, how they are checked, signed and rolled out, and zone drains."""
+"""Bundles: their format, validation, signatures and rollout. Also zone drains."""
--- a/packages/wheatslip/wheatslip/config/bundle.py
+++ b/packages/wheatslip/wheatslip/config/bundle.py
@@ -1,7 +1,7 @@
 """Bundles: a versioned set of workspaces, services, kinds of request, pools and routes.
 
-Operators write one as INI, see `bundleini`. The canonical bytes (sorted JSON) are what is
-hashed, signed and kept in the platform's object API.
+Operators write a bundle as an INI file, see `bundleini`. Its canonical bytes (JSON with sorted
+keys) are hashed, signed and stored at the platform.
 """
 
 import hashlib
@@ -13,21 +13,23 @@
 
 from wheatslip.call import CallClass, RequestKind
 
-FORMAT = 1  # of the canonical bytes; another one is refused
-MAX_BUNDLE_BYTES = 1_000_000  # the platform's limit for a value, which operators meet
+FORMAT = 1  # of the canonical bytes; any other format is refused
+MAX_BUNDLE_BYTES = 1_000_000  # the platform's limit for the value of an object
 
-# What a daemon can work with; a bundle with other numbers is refused when it is read, whoever
-# wrote it. Applied, it would stop each daemon that takes it (a rate of 1e308 a second did).
-# Longer than a week no request, and no cold start, lasts; the others are beyond all use.
-Seconds = Annotated[float, Meta(ge=0.0, le=604_800.0)]
-Rate = Annotated[float, Meta(ge=0.0, le=1e6)]  # a second
+# Ranges of the numbers in a bundle. Decoding checks them, because not every bundle comes from
+# `bundleini`. A number out of range, such as a rate of 1e308 per second, can stop every daemon
+# that applies the bundle.
+Seconds = Annotated[float, Meta(ge=0.0, le=604_800.0)]  # at most a week
+Rate = Annotated[float, Meta(ge=0.0, le=1e6)]  # per second
 Share = Annotated[float, Meta(ge=0.001, le=1000.0)]
 Weight = Annotated[float, Meta(ge=0.0, le=1e9)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """A customer: who may call, and with what weight. The credential is kept as its hash."""
+    """A customer that calls services. `share` is its weight when workspaces compete for
+    capacity. Its credential is stored as a hash.
+    """
 
     name: str
     credential_sha256: str
@@ -35,14 +37,14 @@
 
 
 class Kind(msgspec.Struct, frozen=True):
-    """A kind of request of a service."""
+    """A kind of request that a service accepts."""
 
     name: str
     repeatable: bool
     urgent: bool = False
 
     def as_request_kind(self) -> RequestKind:
-        """The same, as the decisions take it."""
+        """Converts it to the type that admission and retries use."""
         call_class = CallClass.URGENT if self.urgent else CallClass.NORMAL
         return RequestKind(self.name, self.repeatable, call_class)
 
@@ -58,13 +60,13 @@
     max_deadline: Seconds = 10.0
 
     def kind(self, name: str) -> Kind | None:
-        """The kind of that name, if the service has it."""
+        """Returns the kind of that name, or None."""
         return next((kind for kind in self.kinds if kind.name == name), None)
 
 
 class ColdStart(msgspec.Struct, frozen=True):
-    """A backend server stays cold for `seconds` after its start, and bears `per_second`
-    requests a second meanwhile.
+    """A backend server is cold for `seconds` after its start. Meanwhile it can serve
+    `per_second` requests per second.
     """
 
     seconds: Seconds
@@ -74,11 +76,11 @@
 class Pool(msgspec.Struct, frozen=True):
     """Backend servers that serve the same services, and the limits of each.
 
-    `slots` is the concurrency to start from (0: find it), `probes_per_second` the budget of
-    active measuring for one backend server, `shed_status` the HTTP status by which its
-    servers say that work was not started (0: none does). An empty `health_path` leaves that
-    of the daemon's settings. `cold` is left out of the bytes where it is not set, so that
-    bundles that were signed without it keep their digests.
+    `slots` is the concurrency limit of a backend server (0: the limit is adaptive).
+    `probes_per_second` limits the probes to one backend server. `shed_status` is the HTTP
+    status with which a backend server reports that it did not start a request (0: none). If
+    `health_path` is empty, the one of the daemon's settings applies. An unset `cold` is omitted
+    from the canonical bytes, so that bundles signed without the field keep their digests.
     """
 
     name: str
@@ -92,19 +94,19 @@
 
 
 class Split(msgspec.Struct, frozen=True):
-    """The part of a route's requests that goes to one service, relative to the others'."""
+    """A service of a route. `weight` is its part of the requests, relative to other splits."""
 
     service: str
     weight: Weight = 1.0
 
 
 class Route(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Requests of one host below a path prefix, and how they are to be served.
+    """How requests to one host below a path prefix are served.
 
-    `timeout` bounds a request whatever its own deadline says; an answer within `target` is
-    worth most. Both in seconds; 0 for `target` means that any answer in time is as good.
-    Calls of `priority` 0 go first; other numbers make no difference yet. `max_attempts`
-    bounds the backend servers that one request is sent to.
+    `timeout` and `target` are in seconds. `timeout` limits a request even if its own deadline
+    is later. `target` is the response time after which a response has little value; 0 means the
+    timeout. Requests with `priority` 0 go first; all other priorities are equal. `max_attempts`
+    is the maximum number of backend servers that a request is sent to.
     """
 
     name: str
@@ -129,21 +131,21 @@
     routes: tuple[Route, ...] = ()
 
     def canonical(self) -> bytes:
-        """The bytes that are hashed and signed: JSON with sorted keys."""
+        """Returns the bytes that are hashed and signed: JSON with sorted keys."""
         return msgspec.json.encode(self, order="sorted")
 
     def digest(self) -> str:
-        """SHA-256 of the canonical bytes, in hex."""
+        """Returns the SHA-256 of the canonical bytes, in hex."""
         return hashlib.sha256(self.canonical()).hexdigest()
 
 
 def credential_digest(credential: str) -> str:
-    """The hash under which a bundle keeps a workspace's credential."""
+    """Returns the SHA-256 of a workspace's credential, in hex, as bundles store it."""
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
 def decode_bundle(data: bytes, max_bytes: int = MAX_BUNDLE_BYTES) -> Result[Bundle, str]:
-    """A bundle from its canonical bytes; the error is a sentence."""
+    """Decodes a bundle from its canonical bytes. The error is a message for the operator."""
     if len(data) > max_bytes:
         return Err(f"bundle of {len(data)} bytes is larger than {max_bytes}")
     try:
--- a/packages/wheatslip/wheatslip/config/bundleini.py
+++ b/packages/wheatslip/wheatslip/config/bundleini.py
@@ -1,6 +1,6 @@
-"""Bundles as operators write them: INI, checked into typed objects.
+"""Parsing of bundles that operators write as INI files.
 
-A key that is left out has the default of the type's field in `bundle`.
+An omitted key has the default of the field of its type in `bundle`.
 """
 
 from collections.abc import Callable
@@ -21,31 +21,34 @@
 )
 from wheatslip.config.ini import Problem, Problems, Section, parse_names, read_ini
 
-MAX_VERSION = 2**53  # the largest range in which JSON readers keep integers exact
+MAX_VERSION = 2**53  # JSON parsers that use doubles lose precision above it
 SHA256_HEX_LENGTH = 64
-# Their fields are the defaults of keys.
-_WORKSPACE = Workspace("", "")
-_KIND = Kind("", repeatable=False)
-_SERVICE = Service("", "", "")
-_POOL = Pool("")
-_ROUTE = Route("", "", "/", ())
+# Examples whose optional fields hold the defaults of keys.
+_WORKSPACE_DEFAULTS = Workspace("", "")
+_KIND_DEFAULTS = Kind("", repeatable=False)
+_SERVICE_DEFAULTS = Service("", "", "")
+_POOL_DEFAULTS = Pool("")
+_ROUTE_DEFAULTS = Route("", "", "/", ())
 
 
 def parse_bundle(text: str, source: str) -> Result[Bundle, list[Problem]]:
-    """Check an INI text into a bundle, or report every problem at once."""
+    """Parses a bundle from the text of an INI file. The error lists all problems.
+
+    `source` is the file name in the problems.
+    """
     problems = Problems(source)
     sections = read_ini(text, problems)
-    builder = _Builder(problems)
+    builder = _BundleBuilder(problems)
     for title, values in sections.items():
-        builder.add(title, values)
-    bundle = builder.finish()
+        builder.add_section(title, values)
+    bundle = builder.build()
     if problems.found:
         return Err(problems.found)
     return Ok(bundle)
 
 
-class _Builder:
-    """Collects the sections of one INI text."""
+class _BundleBuilder:
+    """Builds a bundle from the sections of one INI file."""
 
     def __init__(self, problems: Problems):
         self._problems = problems
@@ -56,21 +59,21 @@
         self._pools: dict[str, Pool] = {}
         self._routes: dict[str, Route] = {}
         self._readers: dict[str, Callable[[str, Section], None]] = {
-            "workspace": self._workspace,
-            "service": self._service,
-            "kind": self._kind,
-            "pool": self._pool,
-            "route": self._route,
+            "workspace": self._read_workspace,
+            "service": self._read_service,
+            "kind": self._read_kind,
+            "pool": self._read_pool,
+            "route": self._read_route,
         }
 
-    def add(self, title: str, values: dict[str, str]) -> None:
-        """Read one section by the first word of its title."""
+    def add_section(self, title: str, values: dict[str, str]) -> None:
+        """Reads a section; the first word of its title is its type."""
         section = Section(title, values, self._problems)
-        word, _, name = title.partition(" ")
+        section_type, _, name = title.partition(" ")
         if title == "bundle":
-            self._head(section)
-        elif word in self._readers and name:
-            self._readers[word](name, section)
+            self._read_bundle_section(section)
+        elif section_type in self._readers and name:
+            self._readers[section_type](name, section)
         else:
             expected = (
                 "[bundle], [workspace N], [service N], [kind SERVICE/N], [pool N], [route N]"
@@ -79,8 +82,10 @@
             return
         section.finish()
 
-    def finish(self) -> Bundle:
-        """The bundle, after the references between sections are checked."""
+    def build(self) -> Bundle:
+        """Checks the references between sections and returns the bundle, which is incomplete if
+        there are problems.
+        """
         if not self._version:
             self._problems.add("bundle", "version", "", "a version number (required)")
         self._check_references()
@@ -96,55 +101,55 @@
             routes=tuple(self._routes[name] for name in sorted(self._routes)),
         )
 
-    def _head(self, section: Section) -> None:
+    def _read_bundle_section(self, section: Section) -> None:
         section.integer("format", FORMAT, FORMAT, FORMAT)
         self._version = section.integer("version", 0, 1, MAX_VERSION, must=True)
 
-    def _workspace(self, name: str, section: Section) -> None:
+    def _read_workspace(self, name: str, section: Section) -> None:
         self._workspaces[name] = Workspace(
             name=name,
             credential_sha256=section.get(
-                "credential-sha256", "", _sha256_hex, "64 hex digits", must=True
+                "credential-sha256", "", _parse_sha256_hex, "64 hex digits", must=True
             ),
-            share=section.number("share", _WORKSPACE.share, 0.001, 1000.0),
+            share=section.number("share", _WORKSPACE_DEFAULTS.share, 0.001, 1000.0),
         )
 
-    def _service(self, name: str, section: Section) -> None:
+    def _read_service(self, name: str, section: Section) -> None:
         self._services[name] = Service(
             name=name,
             workspace=section.text("workspace", must=True),
             pool=section.text("pool", must=True),
             callers=section.names("callers"),
-            max_deadline=section.duration("max-deadline", _SERVICE.max_deadline),
+            max_deadline=section.duration("max-deadline", _SERVICE_DEFAULTS.max_deadline),
         )
 
-    def _kind(self, name: str, section: Section) -> None:
+    def _read_kind(self, name: str, section: Section) -> None:
         service, _, kind = name.partition("/")
         if not kind:
             self._problems.add(section.name, "-", name, "[kind SERVICE/NAME]")
         self._kinds.setdefault(service, []).append(
             Kind(
                 name=kind,
-                repeatable=section.flag("repeatable", _KIND.repeatable),
-                urgent=section.flag("urgent", _KIND.urgent),
+                repeatable=section.flag("repeatable", _KIND_DEFAULTS.repeatable),
+                urgent=section.flag("urgent", _KIND_DEFAULTS.urgent),
             )
         )
 
-    def _pool(self, name: str, section: Section) -> None:
+    def _read_pool(self, name: str, section: Section) -> None:
         self._pools[name] = Pool(
             name=name,
-            slots=section.integer("slots", _POOL.slots, 0, 10_000),
-            connections=section.integer("connections", _POOL.connections, 1, 65_000),
-            queue=section.integer("queue", _POOL.queue, 0, 100_000),
+            slots=section.integer("slots", _POOL_DEFAULTS.slots, 0, 10_000),
+            connections=section.integer("connections", _POOL_DEFAULTS.connections, 1, 65_000),
+            queue=section.integer("queue", _POOL_DEFAULTS.queue, 0, 100_000),
             probes_per_second=section.number(
-                "probes-per-second", _POOL.probes_per_second, 0.0, 1000.0
+                "probes-per-second", _POOL_DEFAULTS.probes_per_second, 0.0, 1000.0
             ),
-            shed_status=section.integer("shed-status", _POOL.shed_status, 0, 599),
+            shed_status=section.integer("shed-status", _POOL_DEFAULTS.shed_status, 0, 599),
             health_path=section.text("health-path"),
-            cold=self._cold(section),
+            cold=self._read_cold_start(section),
         )
 
-    def _cold(self, section: Section) -> ColdStart | msgspec.UnsetType:
+    def _read_cold_start(self, section: Section) -> ColdStart | msgspec.UnsetType:
         seconds = section.duration("cold-seconds", 0.0)
         per_second = section.number("cold-per-second", 0.0, 0.0, 1e6)
         if not seconds and not per_second:
@@ -156,30 +161,30 @@
             return msgspec.UNSET
         return ColdStart(seconds, per_second)
 
-    def _route(self, name: str, section: Section) -> None:
+    def _read_route(self, name: str, section: Section) -> None:
         self._routes[name] = Route(
             name=name,
             host=section.text("host", must=True).lower(),
             prefix=section.get(
-                "prefix", _ROUTE.prefix, parse_prefix, "a path such as /a/ or /"
+                "prefix", _ROUTE_DEFAULTS.prefix, parse_prefix, "a path such as /a/ or /"
             ),
             splits=section.get(
                 "services", (), parse_splits, "NAME or NAME:WEIGHT, …", must=True
             ),
-            repeatable=section.flag("repeatable", _ROUTE.repeatable),
-            timeout=section.duration("timeout", _ROUTE.timeout),
-            target=section.duration("target", _ROUTE.target),
-            priority=section.integer("priority", _ROUTE.priority, 0, 1000),
-            max_attempts=section.integer("max-attempts", _ROUTE.max_attempts, 1, 100),
+            repeatable=section.flag("repeatable", _ROUTE_DEFAULTS.repeatable),
+            timeout=section.duration("timeout", _ROUTE_DEFAULTS.timeout),
+            target=section.duration("target", _ROUTE_DEFAULTS.target),
+            priority=section.integer("priority", _ROUTE_DEFAULTS.priority, 0, 1000),
+            max_attempts=section.integer("max-attempts", _ROUTE_DEFAULTS.max_attempts, 1, 100),
         )
 
     def _check_references(self) -> None:
-        places: dict[tuple[str, str], str] = {}
+        route_names: dict[tuple[str, str], str] = {}  # by host and prefix
         for route in self._routes.values():
             title = f"route {route.name}"
-            other = places.setdefault((route.host, route.prefix), route.name)
+            other = route_names.setdefault((route.host, route.prefix), route.name)
             if other != route.name:
-                expected = f"a place of its own, not that of route {other}"
+                expected = f"a host and prefix other than those of route {other}"
                 self._problems.add(title, "prefix", route.prefix, expected)
             for split in route.splits:
                 if split.service not in self._services:
@@ -202,14 +207,14 @@
 
 
 def parse_prefix(text: str) -> str:
-    """A path prefix that begins and ends with a slash; raises ValueError."""
+    """Checks that a path prefix begins and ends with a slash; raises ValueError."""
     if not (text.startswith("/") and text.endswith("/")):
         raise ValueError(text)
     return text
 
 
 def parse_splits(text: str) -> tuple[Split, ...]:
-    """`NAME` or `NAME:WEIGHT, NAME:WEIGHT`; raises ValueError."""
+    """Parses a comma-separated list of `NAME` or `NAME:WEIGHT`; raises ValueError."""
     return tuple(_parse_split(part) for part in parse_names(text))
 
 
@@ -221,7 +226,7 @@
     return split
 
 
-def _sha256_hex(text: str) -> str:
+def _parse_sha256_hex(text: str) -> str:
     if len(text) != SHA256_HEX_LENGTH or set(text) - set("0123456789abcdef"):
         raise ValueError(text)
     return text
--- a/packages/wheatslip/wheatslip/config/changes.py
+++ b/packages/wheatslip/wheatslip/config/changes.py
@@ -1,4 +1,4 @@
-"""What differs between two bundles, item by item."""
+"""Comparison of two bundles for display: which items were added, removed or changed."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class ChangeKind(StrEnum):
-    """How an item differs."""
+    """How an item differs between two bundles."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -17,7 +17,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One item that differs; `fields` names the changed ones."""
+    """An item that differs. `item` is its type and name; `fields` are the changed fields."""
 
     kind: ChangeKind
     item: str
@@ -28,29 +28,29 @@
 
 
 def changes_between(old: Bundle, new: Bundle) -> list[Change]:
-    """The changes from `old` to `new`, sorted by item."""
-    found = [
+    """Returns the changes from `old` to `new`, sorted by item."""
+    changes = [
         *_compare("workspace", old.workspaces, new.workspaces),
         *_compare("service", old.services, new.services),
         *_compare("pool", old.pools, new.pools),
         *_compare("route", old.routes, new.routes),
     ]
-    return sorted(found, key=lambda change: change.item)
+    return sorted(changes, key=lambda change: change.item)
 
 
-def _compare(word: str, old: Iterable[Item], new: Iterable[Item]) -> Iterable[Change]:
+def _compare(item_type: str, old: Iterable[Item], new: Iterable[Item]) -> Iterable[Change]:
     before = {item.name: item for item in old}
     after = {item.name: item for item in new}
     for name in before.keys() | after.keys():
-        label = f"{word} {name}"
+        label = f"{item_type} {name}"
         if name not in before:
             yield Change(ChangeKind.ADDED, label)
         elif name not in after:
             yield Change(ChangeKind.REMOVED, label)
         elif before[name] != after[name]:
-            yield Change(ChangeKind.CHANGED, label, _fields(before[name], after[name]))
+            yield Change(ChangeKind.CHANGED, label, _changed_fields(before[name], after[name]))
 
 
-def _fields(before: Item, after: Item) -> tuple[str, ...]:
+def _changed_fields(before: Item, after: Item) -> tuple[str, ...]:
     names = before.__struct_fields__
     return tuple(name for name in names if getattr(before, name) != getattr(after, name))
--- a/packages/wheatslip/wheatslip/config/deltas.py
+++ b/packages/wheatslip/wheatslip/config/deltas.py
@@ -1,4 +1,4 @@
-"""Differences between two bundles, small enough to be sent on every change."""
+"""Deltas between two bundles. Daemons send them to each other instead of whole bundles."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -13,10 +13,11 @@
 
 
 class BundleDelta(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What turns version `base` into that of `head`: items added or changed, and names gone.
+    """The difference from version `base` to the version of `head`: the items that were added or
+    changed, and the names of removed items.
 
-    `signatures` are those of the whole new bundle, so a receiver proves the result and need
-    not trust who sent the difference.
+    `signatures` are those of the whole new bundle: a receiver verifies the result and need not
+    trust the sender.
     """
 
     base: int
@@ -35,48 +36,47 @@
 def delta_between(
     old: Bundle, new: Bundle, head: Head, signatures: tuple[Signature, ...]
 ) -> BundleDelta:
-    """The difference from `old` to `new`."""
     return BundleDelta(
         base=old.version,
         head=head,
         signatures=signatures,
-        workspaces=_changed(old.workspaces, new.workspaces),
-        services=_changed(old.services, new.services),
-        pools=_changed(old.pools, new.pools),
-        gone_workspaces=_gone(old.workspaces, new.workspaces),
-        gone_services=_gone(old.services, new.services),
-        gone_pools=_gone(old.pools, new.pools),
-        routes=_changed(old.routes, new.routes),
-        gone_routes=_gone(old.routes, new.routes),
+        workspaces=_changed_items(old.workspaces, new.workspaces),
+        services=_changed_items(old.services, new.services),
+        pools=_changed_items(old.pools, new.pools),
+        gone_workspaces=_removed_names(old.workspaces, new.workspaces),
+        gone_services=_removed_names(old.services, new.services),
+        gone_pools=_removed_names(old.pools, new.pools),
+        routes=_changed_items(old.routes, new.routes),
+        gone_routes=_removed_names(old.routes, new.routes),
     )
 
 
 def apply_delta(old: Bundle, delta: BundleDelta) -> Bundle:
-    """The new bundle; whether it is the right one is for its digest to tell."""
+    """Returns the new bundle. The caller must verify its digest and signatures."""
     return Bundle(
         version=delta.head.version,
-        workspaces=_merged(old.workspaces, delta.workspaces, delta.gone_workspaces),
-        services=_merged(old.services, delta.services, delta.gone_services),
-        pools=_merged(old.pools, delta.pools, delta.gone_pools),
-        routes=_merged(old.routes, delta.routes, delta.gone_routes),
+        workspaces=_apply_changes(old.workspaces, delta.workspaces, delta.gone_workspaces),
+        services=_apply_changes(old.services, delta.services, delta.gone_services),
+        pools=_apply_changes(old.pools, delta.pools, delta.gone_pools),
+        routes=_apply_changes(old.routes, delta.routes, delta.gone_routes),
     )
 
 
-def _changed(old: Iterable[Item], new: Iterable[Item]) -> tuple[Item, ...]:
+def _changed_items(old: Iterable[Item], new: Iterable[Item]) -> tuple[Item, ...]:
     before = {item.name: item for item in old}
     return tuple(item for item in new if before.get(item.name) != item)
 
 
-def _gone(old: Iterable[Item], new: Iterable[Item]) -> tuple[str, ...]:
+def _removed_names(old: Iterable[Item], new: Iterable[Item]) -> tuple[str, ...]:
     after = {item.name for item in new}
     return tuple(item.name for item in old if item.name not in after)
 
 
-def _merged(
-    old: Iterable[Item], changed: Iterable[Item], gone: Iterable[str]
+def _apply_changes(
+    old: Iterable[Item], changed: Iterable[Item], removed: Iterable[str]
 ) -> tuple[Item, ...]:
     items = {item.name: item for item in old}
-    for name in gone:
+    for name in removed:
         items.pop(name, None)
     for item in changed:
         items[item.name] = item
--- a/packages/wheatslip/wheatslip/config/drainrequests.py
+++ b/packages/wheatslip/wheatslip/config/drainrequests.py
@@ -1,4 +1,4 @@
-"""What operators do with zone drains at the platform: ask for one, take it back, list them."""
+"""Commands of an operator on the zone drains at the platform: drain, restore and list."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -8,44 +8,43 @@
 
 
 class ZoneDrainRequests:
-    """The steps of one operator."""
+    """Writes and reads the objects of zone drains at the platform."""
 
     def __init__(self, store: ObjectStore):
         self._store = store
 
     async def drain(self, drain: ZoneDrain) -> Result[ZoneDrain, Unavailable]:
-        """Ask for the drain of a zone. One that exists already stays and is returned."""
+        """Drains a zone. If the zone is already drained, returns the existing drain."""
         value = StoredDrain(drain.asked_by, drain.since, drain.signature)
         answer = await self._store.put(ZONE_DRAIN_KIND, drain.zone, value, expected=0)
         match answer:
             case Ok(_):
                 return Ok(drain)
-            case Err(Conflict(StoredObject() as found)):
-                return Ok(_readable(found))
-            case Err(Unavailable() as trouble):
-                return Err(trouble)
-        return Err(Unavailable(f"the drain of {drain.zone} changed while it was written"))
+            case Err(Conflict(StoredObject() as existing)):
+                return Ok(_decode_or_empty(existing))
+            case Err(Unavailable() as error):
+                return Err(error)
+        return Err(Unavailable(f"the drain of zone {drain.zone} was changed concurrently"))
 
     async def restore(self, zone: str) -> Result[bool, Unavailable]:
-        """Take a zone's drain back; whether there was one."""
-        found = await self._store.get(ZONE_DRAIN_KIND, zone)
-        if isinstance(found, Err):
-            return found
-        if found.ok_value is None:
+        """Deletes the drain of a zone; returns false if there was none."""
+        answer = await self._store.get(ZONE_DRAIN_KIND, zone)
+        if isinstance(answer, Err):
+            return answer
+        if answer.ok_value is None:
             return Ok(False)
-        match await self._store.delete(ZONE_DRAIN_KIND, zone, found.ok_value.version):
+        match await self._store.delete(ZONE_DRAIN_KIND, zone, answer.ok_value.version):
             case Ok(_):
                 return Ok(True)
-            case Err(Unavailable() as trouble):
-                return Err(trouble)
-        return Err(Unavailable(f"the drain of {zone} changed while it was taken back"))
+            case Err(Unavailable() as error):
+                return Err(error)
+        return Err(Unavailable(f"the drain of zone {zone} was changed concurrently"))
 
-    async def listed(self) -> Result[list[ZoneDrain], Unavailable]:
-        """The drains of all zones."""
+    async def list_drains(self) -> Result[list[ZoneDrain], Unavailable]:
         answer = await self._store.list(ZONE_DRAIN_KIND)
-        return answer.map(lambda listing: [_readable(item) for item in listing.items])
+        return answer.map(lambda listing: [_decode_or_empty(item) for item in listing.items])
 
 
-def _readable(item: StoredObject) -> ZoneDrain:
-    """The drain in an object; one with the zone's name alone if it can't be read."""
+def _decode_or_empty(item: StoredObject) -> ZoneDrain:
+    """Returns the drain in an object, or one with only the zone's name if decoding fails."""
     return decode_drain(item.name, msgspec.Raw(item.value)).unwrap_or(ZoneDrain(item.name))
--- a/packages/wheatslip/wheatslip/config/head.py
+++ b/packages/wheatslip/wheatslip/config/head.py
@@ -1,26 +1,25 @@
-"""The head: the one object that says which bundle version is in force."""
+"""The head: the object at the platform that names the bundle version in force."""
 
 import msgspec
 
 HEAD_KIND = "head"
 HEAD_NAME = "bundle"
 BUNDLE_KIND = "bundle"
-DELTA_KIND = "delta"  # what differs from the version before, under the same name
-# Characters of a digest in a bundle's name: enough to part the proposals of one version.
-DIGEST_CHARS = 16
+DELTA_KIND = "delta"  # difference from the previous version; has the name of its bundle
+NAME_DIGEST_CHARS = 16  # of the hex digest in a bundle's name, to distinguish proposals
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The version in force, and the digest of its canonical bytes."""
+    """The version in force, and the hex SHA-256 digest of its canonical bytes."""
 
     version: int
     digest: str
 
 
 def bundle_name(version: int, digest: str) -> str:
-    """The platform's name of a bundle; sorts as the versions do.
+    """Returns the name of a bundle's object. Names sort in the order of versions.
 
-    The digest is part of it, so that two proposals of one version stand side by side and
-    the head alone decides between them.
+    The name includes the digest, so that several proposals of one version can be stored; the
+    head decides which of them is in force.
     """
-    return f"v{version:012d}-{digest[:DIGEST_CHARS]}"
+    return f"v{version:012d}-{digest[:NAME_DIGEST_CHARS]}"
--- a/packages/wheatslip/wheatslip/config/ini.py
+++ b/packages/wheatslip/wheatslip/config/ini.py
@@ -1,7 +1,7 @@
-"""Typed, checked reading of INI files.
+"""Reading and validation of INI files.
 
-A `Section` returns typed values and notes every problem, so that one check names them all:
-file, section, key, the value found and what is expected.
+A `Section` returns typed values and collects problems instead of raising errors, so that an
+operator sees all problems of a file at once.
 """
 
 import configparser
@@ -13,12 +13,12 @@
 T = TypeVar("T")
 
 MAX_PORT = 65_535
-DURATION_UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
+SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing wrong in a file; printed as a line for a person."""
+    """An invalid or missing value in a file; its text is one line for the operator."""
 
     source: str
     section: str
@@ -35,45 +35,44 @@
 
 @dataclass(slots=True)
 class Problems:
-    """The problems found so far in one file."""
+    """Collects the problems of one file."""
 
     source: str
     found: list[Problem] = field(default_factory=list)
 
     def add(self, section: str, key: str, value: str, expected: str) -> None:
-        """Note one more problem."""
         self.found.append(Problem(self.source, section, key, value, expected))
 
 
 def parse_duration(text: str) -> float:
-    """Seconds in a text such as `250ms`, `2s`, `10m`; raises ValueError."""
+    """Parses a text such as `250ms`, `2s`, `10m` into seconds; raises ValueError."""
     for unit in ("ms", "s", "m", "h"):
         number = text.removesuffix(unit)
         if number != text and number.replace(".", "", 1).isdigit():
-            return float(number) * DURATION_UNITS[unit]
+            return float(number) * SECONDS_PER_UNIT[unit]
     raise ValueError(text)
 
 
 def parse_flag(text: str) -> bool:
-    """True or False for `yes` and `no`; raises ValueError."""
+    """Parses `yes` or `no`; raises ValueError."""
     if text in ("yes", "no"):
         return text == "yes"
     raise ValueError(text)
 
 
 def parse_names(text: str) -> tuple[str, ...]:
-    """The names of a comma-separated list, in order."""
+    """Splits a comma-separated list; empty items are ignored."""
     names = (name.strip() for name in text.split(","))
     return tuple(name for name in names if name)
 
 
 def parse_ip(text: str) -> str:
-    """An IP number; raises ValueError."""
+    """Returns the normalized form of an IP address; raises ValueError."""
     return str(ipaddress.ip_address(text))
 
 
 def parse_ip_and_port(text: str) -> str:
-    """`IP:PORT` by IP number; raises ValueError."""
+    """Checks a text of the form `IP:PORT`; raises ValueError."""
     host, _, port = text.rpartition(":")
     parse_ip(host)
     if not 0 < int(port) <= MAX_PORT:
@@ -82,7 +81,7 @@
 
 
 def parse_port(text: str) -> int:
-    """A port, or the port of `IP:PORT`; raises ValueError."""
+    """Parses `PORT` or the port of `IP:PORT`; raises ValueError. Only the former may be 0."""
     if ":" in text:
         text = parse_ip_and_port(text).rpartition(":")[2]
     port = int(text)
@@ -92,13 +91,15 @@
 
 
 class Section:
-    """Typed view of one section. Keys that are never read are problems; see `finish`."""
+    """Typed access to the keys of one section. Keys that are never read are problems, see
+    `finish`.
+    """
 
     def __init__(self, name: str, values: dict[str, str], problems: Problems):
         self.name = name
         self._values = values
         self._problems = problems
-        self._read: set[str] = set()
+        self._read_keys: set[str] = set()
 
     def get(
         self,
@@ -109,8 +110,12 @@
         *,
         must: bool = False,
     ) -> T:
-        """The value of `key` through `parse`; on a missing or bad value, `default`."""
-        self._read.add(key)
+        """Returns the parsed value of `key`, or `default` if it is missing, empty or invalid.
+
+        `parse` raises ValueError for an invalid value; `expected` describes a valid one. An
+        invalid value is a problem, and so is a missing one if `must` is set.
+        """
+        self._read_keys.add(key)
         text = self._values.get(key)
         if text is None or text == "":
             if must:
@@ -123,25 +128,24 @@
             return default
 
     def text(self, key: str, default: str = "", *, must: bool = False) -> str:
-        """A plain text."""
         return self.get(key, default, str, "a text", must=must)
 
     def flag(self, key: str, default: bool) -> bool:
-        """`yes` or `no`."""
+        """Reads `yes` or `no`."""
         return self.get(key, default, parse_flag, "yes or no")
 
     def names(self, key: str) -> tuple[str, ...]:
-        """A comma-separated list of names."""
+        """Reads a comma-separated list."""
         return self.get(key, (), parse_names, "names separated by commas")
 
     def duration(self, key: str, default: float) -> float:
-        """Seconds, from a text such as `250ms`."""
+        """Reads a duration such as `250ms`; returns seconds."""
         return self.get(key, default, parse_duration, "a duration such as 250ms, 2s or 10m")
 
     def integer(
         self, key: str, default: int, low: int, high: int, *, must: bool = False
     ) -> int:
-        """A whole number from `low` to `high`."""
+        """Reads an integer from `low` to `high`, both included."""
 
         def parse(text: str) -> int:
             number = int(text)
@@ -153,7 +157,7 @@
         return self.get(key, default, parse, expected, must=must)
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
-        """A number from `low` to `high`."""
+        """Reads a number from `low` to `high`, both included."""
 
         def parse(text: str) -> float:
             number = float(text)
@@ -164,7 +168,7 @@
         return self.get(key, default, parse, f"a number from {low:g} to {high:g}")
 
     def choice(self, key: str, default: T, choices: dict[str, T]) -> T:
-        """One of the named choices."""
+        """Reads one of the keys of `choices` and returns its value."""
 
         def parse(text: str) -> T:
             if text not in choices:
@@ -174,14 +178,16 @@
         return self.get(key, default, parse, "one of " + ", ".join(choices))
 
     def finish(self) -> None:
-        """Note the keys that were never read as problems."""
-        for key in self._values.keys() - self._read:
-            known = ", ".join(sorted(self._read))
-            self._problems.add(self.name, key, self._values[key], f"a known key ({known})")
+        """Reports each key that was never read as a problem. Call it after all reads."""
+        for key in self._values.keys() - self._read_keys:
+            known_keys = ", ".join(sorted(self._read_keys))
+            self._problems.add(self.name, key, self._values[key], f"a known key ({known_keys})")
 
 
 def read_ini(text: str, problems: Problems) -> dict[str, dict[str, str]]:
-    """Sections and their raw values; a syntax error becomes a problem."""
+    """Returns the raw values by section and key; nothing if there is a syntax error, which is
+    added to `problems`.
+    """
     parser = configparser.ConfigParser(
         interpolation=None, strict=True, delimiters=("=",), inline_comment_prefixes=(";",)
     )
@@ -195,12 +201,14 @@
 
 
 def layered_sections(text: str, default_text: str, problems: Problems) -> dict[str, Section]:
-    """The sections of a default file with a text's values over it; others are problems."""
+    """Returns the sections of `default_text`, with the values of `text` replacing the defaults.
+    Sections that `default_text` does not have are problems.
+    """
     defaults = read_ini(default_text, Problems("default.ini"))
-    given = read_ini(text, problems)
-    for name in given.keys() - defaults.keys():
+    overrides = read_ini(text, problems)
+    for name in overrides.keys() - defaults.keys():
         problems.add(name, "-", name, "a known section (" + ", ".join(defaults) + ")")
     return {
-        name: Section(name, values | given.get(name, {}), problems)
+        name: Section(name, values | overrides.get(name, {}), problems)
         for name, values in defaults.items()
     }
--- a/packages/wheatslip/wheatslip/config/releases.py
+++ b/packages/wheatslip/wheatslip/config/releases.py
@@ -1,7 +1,7 @@
-"""What operators do with bundles at the platform: propose, sign off, roll out.
+"""Commands of an operator on the bundles at the platform: propose, sign and roll out.
 
-All by conditional updates: of two operators who roll out at the same moment one succeeds, and
-the other gets the version that did (`Beaten`).
+All writes are conditional updates: if two operators roll out bundles concurrently, one succeeds
+and the other gets `Beaten` with the version in force.
 """
 
 from dataclasses import dataclass
@@ -25,19 +25,19 @@
 from wheatslip.store.objectclient import ObjectClient
 from wheatslip.store.objects import Conflict, StoredObject, Unavailable
 
-SIGN_TRIES = 5  # of adding a signature while others add theirs
+MAX_SIGN_ATTEMPTS = 5  # while other operators sign the same proposal
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The step was not taken; `why` is a sentence for the operator."""
+    """The command was not executed; `reason` is a message for the operator."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Beaten:
-    """Another version came into force first."""
+    """The bundle is not the next version after the one in force, which `head` names."""
 
     head: Head
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A bundle at the platform, with who signed it so far."""
+    """A bundle at the platform, with the signatures made so far."""
 
     bundle: Bundle
     signed: SignedBundle
@@ -55,50 +55,54 @@
 
     @property
     def signers(self) -> list[str]:
-        """The operators whose signatures stand there, good or not."""
+        """The operators of all signatures, including invalid ones."""
         return [signature.operator for signature in self.signed.signatures]
 
 
 class Releases:
-    """The steps of a release, for one operator."""
+    """Writes and reads bundles, their signatures and the head at the platform."""
 
     def __init__(self, client: ObjectClient, keyring: Keyring):
         self._client = client
         self._keyring = keyring
 
     async def head(self) -> Result[Head | None, Unavailable]:
-        """The version in force, None before the first."""
+        """Returns the version in force, or None before the first rollout."""
         answer = await self._client.get(HEAD_KIND, HEAD_NAME)
-        return answer.map(lambda stored: _as_head(stored) if stored else None)
+        return answer.map(lambda stored: _decode_head(stored) if stored else None)
 
     async def proposals(self) -> Result[list[Proposal], Unavailable]:
-        """Every bundle at the platform, oldest version first."""
+        """Returns all bundles at the platform, the oldest version first. Objects that are not
+        bundles are skipped.
+        """
         match await self._client.list(BUNDLE_KIND):
             case Ok(listing):
-                return Ok([p for p in map(_as_proposal, listing.items) if p is not None])
-            case Err(trouble):
-                return Err(trouble)
+                return Ok([p for p in map(_decode_proposal, listing.items) if p is not None])
+            case Err(error):
+                return Err(error)
         raise AssertionError
 
     async def propose(self, bundle: Bundle) -> Result[Proposal, ReleaseError]:
-        """Put a bundle up for sign-off. The same one again is no error."""
+        """Stores a bundle, without signatures. If it is already stored, returns it with its
+        signatures.
+        """
         signed = SignedBundle(bundle.canonical().decode())
         name = bundle_name(bundle.version, bundle.digest())
         answer = await self._client.put(BUNDLE_KIND, name, signed, expected=0)
         if isinstance(answer, Ok):
             return Ok(Proposal(bundle, signed, answer.ok_value))
         match answer.err_value:
-            case Unavailable() as trouble:
-                return Err(trouble)
+            case Unavailable() as error:
+                return Err(error)
             case Conflict(StoredObject() as current):
-                return _found(current, bundle.version)
-        return Err(Refused(f"version {bundle.version} changed while it was written"))
+                return _check_proposal(current, bundle.version)
+        return Err(Refused(f"version {bundle.version} was changed concurrently"))
 
     async def sign(
         self, version: int, digest: str, operator: str, key: Ed25519PrivateKey
     ) -> Result[Proposal, ReleaseError]:
-        """Add an operator's signature to a proposal."""
-        for _ in range(SIGN_TRIES):
+        """Adds an operator's signature to a proposal, or replaces it if there is one."""
+        for _ in range(MAX_SIGN_ATTEMPTS):
             loaded = await self._load(version, digest)
             if isinstance(loaded, Err):
                 return loaded
@@ -112,26 +116,28 @@
                 return Ok(Proposal(proposal.bundle, signed, answer.ok_value))
             if isinstance(answer.err_value, Unavailable):
                 return Err(answer.err_value)
-            # Another operator signed in between: read again.
-        return Err(Refused(f"version {version} changed {SIGN_TRIES} times meanwhile"))
+            # Another operator signed concurrently: read the proposal again.
+        return Err(
+            Refused(f"version {version} was changed concurrently {MAX_SIGN_ATTEMPTS} times")
+        )
 
     async def roll_out(self, version: int, digest: str) -> Result[Head, ReleaseError]:
-        """Bring a signed-off bundle in force, as the next after the present one."""
+        """Puts a signed bundle in force if it is the next version after the current one."""
         loaded = await self._load(version, digest)
         if isinstance(loaded, Err):
             return loaded
         proposal = loaded.ok_value
-        checked = verify(proposal.signed, self._keyring)
-        if isinstance(checked, Err):
-            return Err(Refused(f"version {version}: {checked.err_value}"))
-        return await self._move_head(Head(version, proposal.bundle.digest()), proposal)
+        verified = verify(proposal.signed, self._keyring)
+        if isinstance(verified, Err):
+            return Err(Refused(f"version {version}: {verified.err_value}"))
+        return await self._update_head(Head(version, proposal.bundle.digest()), proposal)
 
-    async def _move_head(self, new: Head, proposal: Proposal) -> Result[Head, ReleaseError]:
+    async def _update_head(self, new: Head, proposal: Proposal) -> Result[Head, ReleaseError]:
         answer = await self._client.get(HEAD_KIND, HEAD_NAME)
         if isinstance(answer, Err):
             return Err(answer.err_value)
         stored = answer.ok_value
-        current = _as_head(stored) if stored else Head(0, "")
+        current = _decode_head(stored) if stored else Head(0, "")
         if current == new:
             return Ok(new)
         if new.version != current.version + 1:
@@ -142,17 +148,17 @@
         if isinstance(written, Ok):
             return Ok(new)
         match written.err_value:
-            case Unavailable() as trouble:
-                return Err(trouble)
-            case Conflict(StoredObject() as found):
-                winner = _as_head(found)
+            case Unavailable() as error:
+                return Err(error)
+            case Conflict(StoredObject() as newer):
+                winner = _decode_head(newer)
                 return Ok(new) if winner == new else Err(Beaten(winner))
-        return Err(Refused("the head vanished while it was moved"))
+        return Err(Refused("the head was deleted during the rollout"))
 
     async def _store_delta(self, current: Head, new: Head, proposal: Proposal) -> None:
-        """Store what differs from the version in force, for those who have that one.
+        """Stores the delta from the version in force, for daemons that have that version.
 
-        Only a saving: where it is missing, the whole bundle is read, so errors do not matter.
+        Errors are ignored, because daemons read the whole bundle if there is no delta.
         """
         loaded = await self._load(current.version, current.digest)
         if isinstance(loaded, Err):
@@ -168,22 +174,22 @@
         if isinstance(answer, Err):
             return Err(answer.err_value)
         if answer.ok_value is None:
-            return Err(Refused(f"no bundle {name} at the platform"))
-        return _found(answer.ok_value, version)
+            return Err(Refused(f"the platform has no bundle {name}"))
+        return _check_proposal(answer.ok_value, version)
 
 
-def _as_head(stored: StoredObject) -> Head:
+def _decode_head(stored: StoredObject) -> Head:
     return msgspec.json.decode(stored.value, type=Head)
 
 
-def _found(stored: StoredObject, version: int) -> Result[Proposal, ReleaseError]:
-    proposal = _as_proposal(stored)
+def _check_proposal(stored: StoredObject, version: int) -> Result[Proposal, ReleaseError]:
+    proposal = _decode_proposal(stored)
     if proposal is None or proposal.bundle.version != version:
         return Err(Refused(f"the object {stored.name} is not a bundle of version {version}"))
     return Ok(proposal)
 
 
-def _as_proposal(stored: StoredObject) -> Proposal | None:
+def _decode_proposal(stored: StoredObject) -> Proposal | None:
     try:
         signed = msgspec.json.decode(stored.value, type=SignedBundle)
     except msgspec.DecodeError:
--- a/packages/wheatslip/wheatslip/config/routes.py
+++ b/packages/wheatslip/wheatslip/config/routes.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request: by its host, then by the longest path prefix."""
+"""Selection of the route of a request, by its host and the longest matching path prefix."""
 
 from collections.abc import Iterable
 from random import Random
@@ -7,7 +7,7 @@
 
 
 class RouteTable:
-    """The routes of one bundle, indexed. It never changes."""
+    """The routes of one bundle, indexed by host and prefix. Immutable."""
 
     def __init__(self, routes: Iterable[Route]):
         self._by_host: dict[str, dict[str, Route]] = {}
@@ -15,10 +15,10 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a request. `host` without a port, `path` without a query.
+        """Returns the route of a request, or None. `host` has no port, `path` no query.
 
-        Prefixes end with a slash, so only the path's own prefixes up to one of its slashes
-        can match: a look-up for each, the longest first, whatever the number of routes.
+        Prefixes end with a slash, so there is one lookup for each slash of the path, the
+        longest prefix first. The cost does not depend on the number of routes.
         """
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
@@ -33,8 +33,8 @@
 
 
 def pick_service(route: Route, rng: Random) -> str:
-    """The service for one request of a route, drawn by the weights of its splits; where all of
-    these are 0, each is as likely.
+    """Returns a random service of a route, by the weights of its splits. If all weights are 0,
+    the services are equally likely.
     """
     splits = route.splits
     if len(splits) == 1:
--- a/packages/wheatslip/wheatslip/config/signedbundle.py
+++ b/packages/wheatslip/wheatslip/config/signedbundle.py
@@ -1,4 +1,4 @@
-"""Bundles as they are kept and sent: the canonical bytes with the operators' signatures."""
+"""Stored form of a bundle: its canonical bytes and the operators' signatures."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class SignedBundle(msgspec.Struct, frozen=True):
-    """A bundle's canonical bytes (as text) with the signatures made over them."""
+    """A bundle's canonical bytes, as text, and the signatures over them."""
 
     body: str
     signatures: tuple[Signature, ...] = ()
--- a/packages/wheatslip/wheatslip/config/zonedrains.py
+++ b/packages/wheatslip/wheatslip/config/zonedrains.py
@@ -1,8 +1,8 @@
-"""Zone drains: availability zones to whose backend servers nothing new may be sent.
+"""Zone drains: availability zones whose backend servers get no new requests.
 
-Each is an object of its own at the platform, beside the configuration, so that one operator can
-drain a zone at once. Daemons pass the whole set on, with the platform's version at which it was
-read; a newer set replaces an older one. Pure code.
+Each drain is a separate object at the platform and not part of the bundle, so that a single
+operator can drain a zone at once. Daemons forward the whole set with the platform's version at
+which it was read; a newer set replaces an older one. This module does no I/O.
 """
 
 from collections.abc import Iterable
@@ -14,8 +14,8 @@
 
 
 class ZoneDrain(msgspec.Struct, frozen=True):
-    """One drained zone: the operator who asked for it and when (unix seconds; 0: not stated),
-    and that operator's signature in hex.
+    """A drained zone. `asked_by` is the operator who requested the drain, `since` the time of
+    the request (unix seconds; 0: unknown) and `signature` that operator's signature in hex.
     """
 
     zone: str
@@ -24,13 +24,15 @@
     signature: str = ""
 
     def signed_bytes(self) -> bytes:
-        """What the signature is made over."""
+        """Returns the bytes that the signature covers, without their context prefix."""
         return msgspec.json.encode((self.zone, self.asked_by, self.since))
 
 
 class StoredDrain(msgspec.Struct, frozen=True):
-    """The value of a drain's object at the platform. The zone is the object's name, and a field
-    of that name in the value, which others than wheatslip may write, is not read.
+    """The value of a drain's object at the platform.
+
+    The zone is the object's name. A field `zone` in the value, which other programs may write,
+    is ignored.
     """
 
     asked_by: str = ""
@@ -39,19 +41,18 @@
 
 
 class ZoneDrains(msgspec.Struct, frozen=True):
-    """All zone drains at a version of the platform."""
+    """The set of all zone drains at a version of the platform."""
 
     version: int
     drains: tuple[ZoneDrain, ...] = ()
 
     @property
     def zones(self) -> frozenset[str]:
-        """The names of the drained zones."""
         return frozenset(drain.zone for drain in self.drains)
 
 
 def decode_drain(zone: str, value: bytes | msgspec.Raw) -> Result[ZoneDrain, str]:
-    """The drain of a zone as the platform keeps it (JSON); the error is a sentence."""
+    """Decodes the JSON value of a drain's object. The error is the decoder's message."""
     try:
         stored = msgspec.json.decode(value, type=StoredDrain)
     except msgspec.DecodeError as error:
@@ -60,21 +61,22 @@
 
 
 def with_changes(
-    known: ZoneDrains | None,
+    current: ZoneDrains | None,
     changes: Iterable[tuple[str, ZoneDrain | None]],
     version: int,
     *,
     whole: bool,
 ) -> ZoneDrains | None:
-    """The drains after an answer of the platform, read at `version`; None if that is older.
+    """Returns the drains after a response of the platform, or None if `version`, at which it
+    was read, is older than that of `current`.
 
-    `changes` names each zone, with None for one that was restored, in the order in which they
-    happened. An answer may repeat changes that `known` holds already: applying them again ends
-    in the same state. `whole`: it names all drains there are.
+    `changes` lists zones in the order of their changes; the drain is None if the zone was
+    restored. A response may repeat changes that `current` already contains; they are
+    idempotent. `whole`: the response contains all drains, not only the changed ones.
     """
-    if known is not None and version < known.version:
+    if current is not None and version < current.version:
         return None
-    drains = {} if known is None or whole else {drain.zone: drain for drain in known.drains}
+    drains = {} if current is None or whole else {drain.zone: drain for drain in current.drains}
     for zone, drain in changes:
         drains.pop(zone, None)
         if drain is not None:
