--- a/packages/wheatslip-cli/wheatslip_cli/__init__.py
+++ b/packages/wheatslip-cli/wheatslip_cli/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' command of the wheatslip load balancer."""
+"""Command-line tool for operators of the wheatslip load balancer."""
 
 __version__ = "0.1.0"
--- a/packages/wheatslip-cli/wheatslip_cli/bundle_commands.py
+++ b/packages/wheatslip-cli/wheatslip_cli/bundle_commands.py
@@ -1,4 +1,4 @@
-"""The commands `wheatslip bundle …`: each one object with its arguments and what it does."""
+"""The commands `wheatslip bundle …`."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -14,16 +14,16 @@
 from wheatslip.config.head import Head
 from wheatslip.config.releases import Proposal, ReleaseError, Releases
 
-from wheatslip_cli.operator import complain_about, run_step, signing_key
 from wheatslip_cli.options import DEFAULT_SETTINGS, Output, SettingsFile
-from wheatslip_cli.output import ExitCode, Format, complain, show
+from wheatslip_cli.output import ExitCode, Format, print_errors, print_rows
+from wheatslip_cli.runner import load_signing_key, print_release_error, run_with_releases
 from wheatslip_cli.settings import Settings
 
 BundleStep = Callable[[Bundle, Releases, Settings], Awaitable[ExitCode]]
 
 
 class BundleRow(msgspec.Struct, frozen=True):
-    """One bundle, as listed."""
+    """A bundle as printed. `digest` is abbreviated; `signed_by` lists the operators."""
 
     version: int
     digest: str
@@ -35,22 +35,22 @@
 
 
 def read_bundle(path: Path) -> Bundle | None:
-    """The bundle in a file; None after its problems were printed."""
+    """Reads a bundle file. If there are problems, prints them and returns None."""
     try:
         text = path.read_text()
     except OSError as error:
-        complain(ExitCode.BAD_USAGE, str(error))
+        print_errors(ExitCode.BAD_USAGE, str(error))
         return None
     match parse_bundle(text, str(path)):
         case Ok(bundle):
             return bundle
         case Err(problems):
-            complain(ExitCode.BAD_USAGE, *(str(problem) for problem in problems))
+            print_errors(ExitCode.BAD_USAGE, *(str(problem) for problem in problems))
     return None
 
 
 def run_with_bundle(path: Path, settings_path: Path, step: BundleStep) -> ExitCode:
-    """Read a bundle and take one step with it against the platform."""
+    """Reads a bundle file and runs `step` with it and the releases at the platform."""
     bundle = read_bundle(path)
     if bundle is None:
         return ExitCode.BAD_USAGE
@@ -58,7 +58,7 @@
     async def with_bundle(releases: Releases, settings: Settings) -> ExitCode:
         return await step(bundle, releases, settings)
 
-    return run_step(settings_path, with_bundle)
+    return run_with_releases(settings_path, with_bundle)
 
 
 @cappa.command(name="check")
@@ -70,46 +70,42 @@
     output: Output = Format.TABLE
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
         bundle = read_bundle(self.file)
         if bundle is None:
             return ExitCode.BAD_USAGE
-        show([_row(bundle, "checked", [])], self.output)
+        print_rows([_row(bundle, "checked", [])], self.output)
         return ExitCode.GOOD
 
 
 @cappa.command(name="diff")
 @dataclass
 class Diff:
-    """Show what differs between two bundle files."""
+    """Show the differences between two bundle files."""
 
     old: Annotated[Path, cappa.Arg(help="The older bundle (INI).")]
     new: Annotated[Path, cappa.Arg(help="The newer bundle (INI).")]
     output: Output = Format.TABLE
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
         old, new = read_bundle(self.old), read_bundle(self.new)
         if old is None or new is None:
             return ExitCode.BAD_USAGE
-        show(changes_between(old, new), self.output)
+        print_rows(changes_between(old, new), self.output)
         return ExitCode.GOOD
 
 
 @cappa.command(name="propose")
 @dataclass
 class Propose:
-    """Put a bundle up for sign-off at the platform."""
+    """Propose a bundle: store it at the platform for signing."""
 
     file: Annotated[Path, cappa.Arg(help="The bundle (INI).")]
     settings: SettingsFile = DEFAULT_SETTINGS
     output: Output = Format.TABLE
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
-
         async def step(bundle: Bundle, releases: Releases, settings: Settings) -> ExitCode:
-            return _show_proposed(await releases.propose(bundle), self.output)
+            return _print_proposal(await releases.propose(bundle), self.output)
 
         return run_with_bundle(self.file, self.settings, step)
 
@@ -124,16 +120,14 @@
     output: Output = Format.TABLE
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
-
         async def step(bundle: Bundle, releases: Releases, settings: Settings) -> ExitCode:
-            key = signing_key(settings, self.settings)
+            key = load_signing_key(settings, self.settings)
             if isinstance(key, Err):
-                return complain(ExitCode.BAD_USAGE, key.err_value)
+                return print_errors(ExitCode.BAD_USAGE, key.err_value)
             answer = await releases.sign(
                 bundle.version, bundle.digest(), settings.operator, key.ok_value
             )
-            return _show_proposed(answer, self.output)
+            return _print_proposal(answer, self.output)
 
         return run_with_bundle(self.file, self.settings, step)
 
@@ -141,21 +135,19 @@
 @cappa.command(name="rollout")
 @dataclass
 class Rollout:
-    """Bring a signed-off bundle in force."""
+    """Put a signed bundle in force."""
 
     file: Annotated[Path, cappa.Arg(help="The bundle (INI).")]
     settings: SettingsFile = DEFAULT_SETTINGS
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
-
         async def step(bundle: Bundle, releases: Releases, settings: Settings) -> ExitCode:
             match await releases.roll_out(bundle.version, bundle.digest()):
                 case Ok(head):
                     print(f"version {head.version} ({head.digest[:12]}) is in force")
                     return ExitCode.GOOD
                 case Err(error):
-                    return complain_about(error)
+                    return print_release_error(error)
             raise AssertionError
 
         return run_with_bundle(self.file, self.settings, step)
@@ -164,37 +156,38 @@
 @cappa.command(name="history")
 @dataclass
 class History:
-    """List the bundles at the platform, with the one in force."""
+    """List the bundles at the platform and their states."""
 
     settings: SettingsFile = DEFAULT_SETTINGS
     output: Output = Format.TABLE
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
-
         async def step(releases: Releases, settings: Settings) -> ExitCode:
             head, proposals = await releases.head(), await releases.proposals()
             if isinstance(head, Err):
-                return complain_about(head.err_value)
+                return print_release_error(head.err_value)
             if isinstance(proposals, Err):
-                return complain_about(proposals.err_value)
-            now = head.ok_value
-            rows = [_proposal_row(one, _state(one, now)) for one in proposals.ok_value]
-            show(rows, self.output)
+                return print_release_error(proposals.err_value)
+            current = head.ok_value
+            rows = [_proposal_row(p, _state(p, current)) for p in proposals.ok_value]
+            print_rows(rows, self.output)
             return ExitCode.GOOD
 
-        return run_step(self.settings, step)
+        return run_with_releases(self.settings, step)
 
 
 @cappa.command(name="bundle")
 @dataclass
 class BundleCommand:
-    """Review, sign off and roll out versions of the configuration."""
+    """Review, sign and roll out versions of the configuration."""
 
     command: cappa.Subcommands[Check | Diff | Propose | Sign | Rollout | History]
 
 
 def _state(proposal: Proposal, head: Head | None) -> str:
+    """Returns the state for display. A bundle is `beaten` if another one of its version is in
+    force.
+    """
     version = proposal.bundle.version
     if head is None or version > head.version:
         return "proposed"
@@ -203,14 +196,14 @@
     return "in force" if proposal.bundle.digest() == head.digest else "beaten"
 
 
-def _show_proposed(answer: Result[Proposal, ReleaseError], output: Format) -> ExitCode:
-    """Print the proposal that a step led to, or why the step was not taken."""
+def _print_proposal(answer: Result[Proposal, ReleaseError], output: Format) -> ExitCode:
+    """Prints the proposal, or the error."""
     match answer:
         case Ok(proposal):
-            show([_proposal_row(proposal, "proposed")], output)
+            print_rows([_proposal_row(proposal, "proposed")], output)
             return ExitCode.GOOD
-        case Err(refusal):
-            return complain_about(refusal)
+        case Err(error):
+            return print_release_error(error)
     raise AssertionError(answer)
 
 
--- a/packages/wheatslip-cli/wheatslip_cli/key_commands.py
+++ b/packages/wheatslip-cli/wheatslip_cli/key_commands.py
@@ -1,4 +1,4 @@
-"""The commands for secrets: operators' key pairs and the digests of credentials."""
+"""The commands `wheatslip make-keys` and `wheatslip credential-digest`."""
 
 import getpass
 import sys
@@ -10,13 +10,13 @@
 from wheatslip.config.bundle import credential_digest
 from wheatslip.config.signing import write_key_pair
 
-from wheatslip_cli.output import ExitCode, complain
+from wheatslip_cli.output import ExitCode, print_errors
 
 
 @cappa.command(name="make-keys")
 @dataclass
 class MakeKeys:
-    """Make an operator's key pair: OPERATOR.key (keep it to yourself) and OPERATOR.pub."""
+    """Make an operator's key pair: OPERATOR.key (keep it secret) and OPERATOR.pub."""
 
     operator: Annotated[str, cappa.Arg(help="The operator's name.")]
     folder: Annotated[Path, cappa.Arg(long=True, help="Where to write the two files.")] = Path(
@@ -24,9 +24,8 @@
     )
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
         if (self.folder / f"{self.operator}.key").exists():
-            return complain(ExitCode.REFUSED, f"{self.operator}.key exists already")
+            return print_errors(ExitCode.REFUSED, f"{self.operator}.key already exists")
         for path in write_key_pair(self.operator, self.folder):
             print(path)
         return ExitCode.GOOD
@@ -38,12 +37,11 @@
     """Read a workspace's credential from standard input and print its digest for a bundle."""
 
     def __call__(self) -> ExitCode:
-        """Carry out the command."""
         if sys.stdin.isatty():
             credential = getpass.getpass("credential: ")
         else:
             credential = sys.stdin.readline().rstrip("\n")
         if not credential:
-            return complain(ExitCode.BAD_USAGE, "the credential is empty")
+            return print_errors(ExitCode.BAD_USAGE, "the credential is empty")
         print(credential_digest(credential))
         return ExitCode.GOOD
--- a/packages/wheatslip-cli/wheatslip_cli/main.py
+++ b/packages/wheatslip-cli/wheatslip_cli/main.py
@@ -1,4 +1,4 @@
-"""The command `wheatslip`, for operators."""
+"""Entry point of the operators' command `wheatslip`."""
 
 import sys
 from dataclasses import dataclass
@@ -26,7 +26,6 @@
 
 
 def main() -> None:
-    """Entry point of the `wheatslip` command."""
     parsed = cappa.parse(Wheatslip, version=__version__, completion=False)
     chosen = parsed.command
     command = chosen.command if isinstance(chosen, BundleCommand | ZoneCommand) else chosen
--- a/packages/wheatslip-cli/wheatslip_cli/output.py
+++ b/packages/wheatslip-cli/wheatslip_cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: a table for a person or JSON for a program, and errors as sentences."""
+"""Output of commands: results as a table or JSON, and error messages."""
 
 import sys
 from collections.abc import Sequence
@@ -16,19 +16,19 @@
     REFUSED = 1
     BAD_USAGE = 2
     UNAVAILABLE = 3
-    BEATEN = 4
+    VERSION_CONFLICT = 4
 
 
 class Format(StrEnum):
-    """How results are printed."""
+    """Output format of results."""
 
     TABLE = "table"
     JSON = "json"
 
 
-def show(rows: Sequence[msgspec.Struct], form: Format) -> None:
-    """Print rows of one type."""
-    if form is Format.JSON:
+def print_rows(rows: Sequence[msgspec.Struct], output_format: Format) -> None:
+    """Prints rows, all of the same type."""
+    if output_format is Format.JSON:
         print(msgspec.json.encode(rows).decode())
         return
     if not rows:
@@ -40,11 +40,12 @@
         table.add_column(name.replace("_", " "))
     for row in rows:
         table.add_row(*(str(getattr(row, name)) for name in names))
+    # Without a terminal, rich would limit tables to 80 columns.
     Console(width=None if sys.stdout.isatty() else 200).print(table)
 
 
-def complain(code: ExitCode, *sentences: str) -> ExitCode:
-    """Print sentences to standard error; returns the code."""
-    for sentence in sentences:
-        print(f"wheatslip: {sentence}", file=sys.stderr)
+def print_errors(code: ExitCode, *messages: str) -> ExitCode:
+    """Prints messages to standard error and returns `code`, for use in a return statement."""
+    for message in messages:
+        print(f"wheatslip: {message}", file=sys.stderr)
     return code
--- a/packages/wheatslip-cli/wheatslip_cli/operator.py
+++ b/packages/wheatslip-cli/wheatslip_cli/runner.py
@@ -1,4 +1,4 @@
-"""What every command that talks to the platform needs: settings, a client, the releases."""
+"""Runs commands that need the settings and a client of the platform."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,40 +12,40 @@
 from wheatslip.store.objectclient import ObjectClient
 from wheatslip.store.objects import Unavailable
 
-from wheatslip_cli.output import ExitCode, complain
+from wheatslip_cli.output import ExitCode, print_errors
 from wheatslip_cli.settings import Settings, load_settings
 
-Step = Callable[[Releases, Settings], Awaitable[ExitCode]]
+ReleasesStep = Callable[[Releases, Settings], Awaitable[ExitCode]]
 ClientStep = Callable[[ObjectClient, Settings], Awaitable[ExitCode]]
 
 
-def run_step(settings_path: Path, step: Step) -> ExitCode:
-    """Load the settings and run one step of a release against the platform."""
+def run_with_releases(settings_path: Path, step: ReleasesStep) -> ExitCode:
+    """Loads the settings and the keyring, and runs `step` with the releases at the platform."""
 
     async def with_releases(client: ObjectClient, settings: Settings) -> ExitCode:
         try:
             keyring = load_keyring(settings.keyring)
         except ValueError as error:
-            return complain(ExitCode.BAD_USAGE, str(error))
+            return print_errors(ExitCode.BAD_USAGE, str(error))
         return await step(Releases(client, keyring), settings)
 
     return run_with_client(settings_path, with_releases)
 
 
 def run_with_client(settings_path: Path, step: ClientStep) -> ExitCode:
-    """Load the settings and run one step against the platform."""
+    """Loads the settings and runs `step` with a client of the platform."""
     match load_settings(settings_path):
         case Err(problems):
-            return complain(ExitCode.BAD_USAGE, *(str(problem) for problem in problems))
+            return print_errors(ExitCode.BAD_USAGE, *(str(problem) for problem in problems))
         case Ok(settings):
             return asyncio.run(_run(settings, step))
     raise AssertionError
 
 
-def signing_key(settings: Settings, path: Path) -> Result[Ed25519PrivateKey, str]:
-    """The operator's own key; the error is a sentence. `path` is the settings file."""
+def load_signing_key(settings: Settings, path: Path) -> Result[Ed25519PrivateKey, str]:
+    """Reads the operator's private key. `path` is the settings file, for the error message."""
     if not settings.operator or settings.key is None:
-        return Err(f"{path}: [operator] name and key are needed")
+        return Err(f"{path}: [operator] name and key are required")
     try:
         return Ok(load_private_key(settings.key))
     except (OSError, ValueError) as error:
@@ -60,14 +60,13 @@
         await client.close()
 
 
-def complain_about(error: ReleaseError) -> ExitCode:
-    """Print why a step was not taken."""
+def print_release_error(error: ReleaseError) -> ExitCode:
     match error:
-        case Refused(why):
-            return complain(ExitCode.REFUSED, why)
+        case Refused(reason):
+            return print_errors(ExitCode.REFUSED, reason)
         case Beaten(head):
-            what = f"version {head.version} ({head.digest[:12]}) is in force"
-            return complain(ExitCode.BEATEN, f"not rolled out: {what}")
+            current = f"version {head.version} ({head.digest[:12]}) is in force"
+            return print_errors(ExitCode.VERSION_CONFLICT, f"not rolled out: {current}")
         case Unavailable(detail):
-            return complain(ExitCode.UNAVAILABLE, f"the platform: {detail}")
+            return print_errors(ExitCode.UNAVAILABLE, f"platform error: {detail}")
     raise AssertionError(error)
--- a/packages/wheatslip-cli/wheatslip_cli/settings.py
+++ b/packages/wheatslip-cli/wheatslip_cli/settings.py
@@ -10,7 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Where the platform is, and who the operator is. Empty paths were not set."""
+    """`platform` is the address of the platform's object API. `key`, the path of the operator's
+    private key, is None if it is not set.
+    """
 
     platform: str
     operator: str
@@ -19,7 +21,7 @@
 
 
 def load_settings(path: Path) -> Result[Settings, list[Problem]]:
-    """Read and check a settings file; the error lists every problem."""
+    """Reads and validates a settings file. The error lists all problems."""
     try:
         text = path.read_text()
     except OSError as error:
