--- a/packages/wheatslip-cli/wheatslip_cli/settings.py
+++ b/packages/wheatslip-cli/wheatslip_cli/settings.py
@@ -33,11 +33,11 @@
     key = operator.text("key")
     settings = Settings(
         platform=platform.get(
-            "address", "", parse_ip_and_port, "IP:PORT by IP number", must=True
+            "address", "", parse_ip_and_port, "IP:PORT by IP number", required=True
         ),
         operator=operator.text("name"),
         key=Path(key) if key else None,
-        keyring=Path(operator.text("keyring", must=True)),
+        keyring=Path(operator.text("keyring", required=True)),
     )
     platform.finish()
     operator.finish()
--- a/packages/wheatslip/wheatslip/config/bundleini.py
+++ b/packages/wheatslip/wheatslip/config/bundleini.py
@@ -103,13 +103,13 @@
 
     def _read_bundle_section(self, section: Section) -> None:
         section.integer("format", FORMAT, FORMAT, FORMAT)
-        self._version = section.integer("version", 0, 1, MAX_VERSION, must=True)
+        self._version = section.integer("version", 0, 1, MAX_VERSION, required=True)
 
     def _read_workspace(self, name: str, section: Section) -> None:
         self._workspaces[name] = Workspace(
             name=name,
             credential_sha256=section.get(
-                "credential-sha256", "", _parse_sha256_hex, "64 hex digits", must=True
+                "credential-sha256", "", _parse_sha256_hex, "64 hex digits", required=True
             ),
             share=section.number("share", _WORKSPACE_DEFAULTS.share, 0.001, 1000.0),
         )
@@ -117,8 +117,8 @@
     def _read_service(self, name: str, section: Section) -> None:
         self._services[name] = Service(
             name=name,
-            workspace=section.text("workspace", must=True),
-            pool=section.text("pool", must=True),
+            workspace=section.text("workspace", required=True),
+            pool=section.text("pool", required=True),
             callers=section.names("callers"),
             max_deadline=section.duration("max-deadline", _SERVICE_DEFAULTS.max_deadline),
         )
@@ -164,12 +164,12 @@
     def _read_route(self, name: str, section: Section) -> None:
         self._routes[name] = Route(
             name=name,
-            host=section.text("host", must=True).lower(),
+            host=section.text("host", required=True).lower(),
             prefix=section.get(
                 "prefix", _ROUTE_DEFAULTS.prefix, parse_prefix, "a path such as /a/ or /"
             ),
             splits=section.get(
-                "services", (), parse_splits, "NAME or NAME:WEIGHT, …", must=True
+                "services", (), parse_splits, "NAME or NAME:WEIGHT, …", required=True
             ),
             repeatable=section.flag("repeatable", _ROUTE_DEFAULTS.repeatable),
             timeout=section.duration("timeout", _ROUTE_DEFAULTS.timeout),
--- a/packages/wheatslip/wheatslip/config/ini.py
+++ b/packages/wheatslip/wheatslip/config/ini.py
@@ -108,17 +108,17 @@
         parse: Callable[[str], T],
         expected: str,
         *,
-        must: bool = False,
+        required: bool = False,
     ) -> T:
         """Returns the parsed value of `key`, or `default` if it is missing, empty or invalid.
 
         `parse` raises ValueError for an invalid value; `expected` describes a valid one. An
-        invalid value is a problem, and so is a missing one if `must` is set.
+        invalid value is a problem, and so is a missing one if `required` is set.
         """
         self._read_keys.add(key)
         text = self._values.get(key)
         if text is None or text == "":
-            if must:
+            if required:
                 self._problems.add(self.name, key, text or "", expected + " (required)")
             return default
         try:
@@ -127,8 +127,8 @@
             self._problems.add(self.name, key, text, expected)
             return default
 
-    def text(self, key: str, default: str = "", *, must: bool = False) -> str:
-        return self.get(key, default, str, "a text", must=must)
+    def text(self, key: str, default: str = "", *, required: bool = False) -> str:
+        return self.get(key, default, str, "a text", required=required)
 
     def flag(self, key: str, default: bool) -> bool:
         """Reads `yes` or `no`."""
@@ -143,7 +143,7 @@
         return self.get(key, default, parse_duration, "a duration such as 250ms, 2s or 10m")
 
     def integer(
-        self, key: str, default: int, low: int, high: int, *, must: bool = False
+        self, key: str, default: int, low: int, high: int, *, required: bool = False
     ) -> int:
         """Reads an integer from `low` to `high`, both included."""
 
@@ -154,7 +154,7 @@
             return number
 
         expected = f"a whole number from {low} to {high}"
-        return self.get(key, default, parse, expected, must=must)
+        return self.get(key, default, parse, expected, required=required)
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
         """Reads a number from `low` to `high`, both included."""
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -179,9 +179,9 @@
     control = sections["control"]
     entry = sections["entry"]
     return Settings(
-        name=daemon.text("name", must=True),
-        zone=daemon.text("zone", must=True),
-        pool=daemon.text("pool", must=True),
+        name=daemon.text("name", required=True),
+        zone=daemon.text("zone", required=True),
+        pool=daemon.text("pool", required=True),
         address=address,
         loop=daemon.choice("loop", "uvloop", {"asyncio": "asyncio", "uvloop": "uvloop"}),
         stop_grace=daemon.duration("stop-grace", 30.0),
@@ -192,14 +192,14 @@
         peer_tls=_peer_tls(sections["peer"], address, problems),
         backend_address=_ip(backend, "address"),
         backend_port=backend.get(
-            "port", 0, parse_port, f"a port from 1 to {MAX_PORT}, or IP:PORT", must=True
+            "port", 0, parse_port, f"a port from 1 to {MAX_PORT}, or IP:PORT", required=True
         ),
         health_path=backend.text("health-path"),
         connect_timeout=backend.duration("connect-timeout", 0.25),
         platform=sections["platform"].get(
-            "address", "", parse_ip_and_port, "IP:PORT by IP number", must=True
+            "address", "", parse_ip_and_port, "IP:PORT by IP number", required=True
         ),
-        keyring=Path(sections["operators"].text("keyring", must=source is _SIGNED)),
+        keyring=Path(sections["operators"].text("keyring", required=source is _SIGNED)),
         pages_port=_port(sections["pages"]),
         trace_sample=sections["traces"].number("sample", 0.0, 0.0, 1.0),
         trace_file=sections["traces"].text("file"),
@@ -287,7 +287,7 @@
 
 
 def _ip(section: Section, key: str) -> str:
-    return section.get(key, "", parse_ip, "an IP number", must=True)
+    return section.get(key, "", parse_ip, "an IP number", required=True)
 
 
 def _peer_tls(section: Section, address: str, problems: Problems) -> TlsFiles | None:
