--- a/packages/wheatslip-cli/wheatslip_cli/settings.py
+++ b/packages/wheatslip-cli/wheatslip_cli/settings.py
@@ -39,8 +39,8 @@
         key=Path(key) if key else None,
         keyring=Path(operator.text("keyring", required=True)),
     )
-    platform.finish()
-    operator.finish()
+    platform.report_unknown_keys()
+    operator.report_unknown_keys()
     if problems.found:
         return Err(problems.found)
     return Ok(settings)
--- a/packages/wheatslip/wheatslip/config/bundleini.py
+++ b/packages/wheatslip/wheatslip/config/bundleini.py
@@ -80,7 +80,7 @@
             )
             self._problems.add(title, "-", title, expected)
             return
-        section.finish()
+        section.report_unknown_keys()
 
     def build(self) -> Bundle:
         """Checks the references between sections and returns the bundle, which is incomplete if
--- a/packages/wheatslip/wheatslip/config/ini.py
+++ b/packages/wheatslip/wheatslip/config/ini.py
@@ -92,7 +92,7 @@
 
 class Section:
     """Typed access to the keys of one section. Keys that are never read are problems, see
-    `finish`.
+    `report_unknown_keys`.
     """
 
     def __init__(self, name: str, values: dict[str, str], problems: Problems):
@@ -177,7 +177,7 @@
 
         return self.get(key, default, parse, "one of " + ", ".join(choices))
 
-    def finish(self) -> None:
+    def report_unknown_keys(self) -> None:
         """Reports each key that was never read as a problem. Call it after all reads."""
         for key in self._values.keys() - self._read_keys:
             known_keys = ", ".join(sorted(self._read_keys))
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -164,7 +164,7 @@
     sections = layered_sections(text, default_text(), problems)
     settings = _read(sections, problems)
     for section in sections.values():
-        section.finish()
+        section.report_unknown_keys()
     if problems.found:
         return Err(problems.found)
     return Ok(settings)
