--- a/packages/wheatslip-cli/wheatslip_cli/runner.py
+++ b/packages/wheatslip-cli/wheatslip_cli/runner.py
@@ -7,7 +7,7 @@
 
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from result import Err, Ok, Result
-from wheatslip.config.releases import Beaten, Refused, ReleaseError, Releases
+from wheatslip.config.releases import Refused, ReleaseError, Releases, VersionConflict
 from wheatslip.config.signing import load_keyring, load_private_key
 from wheatslip.store.objectclient import ObjectClient
 from wheatslip.store.objects import Unavailable
@@ -64,7 +64,7 @@
     match error:
         case Refused(reason):
             return print_errors(ExitCode.REFUSED, reason)
-        case Beaten(head):
+        case VersionConflict(head):
             current = f"version {head.version} ({head.digest[:12]}) is in force"
             return print_errors(ExitCode.VERSION_CONFLICT, f"not rolled out: {current}")
         case Unavailable(detail):
--- a/packages/wheatslip/wheatslip/config/releases.py
+++ b/packages/wheatslip/wheatslip/config/releases.py
@@ -1,7 +1,7 @@
 """Commands of an operator on the bundles at the platform: propose, sign and roll out.
 
 All writes are conditional updates: if two operators roll out bundles concurrently, one succeeds
-and the other gets `Beaten` with the version in force.
+and the other gets `VersionConflict` with the version in force.
 """
 
 from dataclasses import dataclass
@@ -36,13 +36,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beaten:
+class VersionConflict:
     """The bundle is not the next version after the one in force, which `head` names."""
 
     head: Head
 
 
-ReleaseError = Refused | Beaten | Unavailable
+ReleaseError = Refused | VersionConflict | Unavailable
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +141,7 @@
         if current == new:
             return Ok(new)
         if new.version != current.version + 1:
-            return Err(Beaten(current))
+            return Err(VersionConflict(current))
         await self._store_delta(current, new, proposal)
         expected = stored.version if stored else 0
         written = await self._client.put(HEAD_KIND, HEAD_NAME, new, expected)
@@ -152,7 +152,7 @@
                 return Err(error)
             case Conflict(StoredObject() as newer):
                 winner = _decode_head(newer)
-                return Ok(new) if winner == new else Err(Beaten(winner))
+                return Ok(new) if winner == new else Err(VersionConflict(winner))
         return Err(Refused("the head was deleted during the rollout"))
 
     async def _store_delta(self, current: Head, new: Head, proposal: Proposal) -> None:
--- a/test/test_bundle.py
+++ b/test/test_bundle.py
@@ -9,7 +9,7 @@
 from wheatslip.config.bundleini import parse_bundle
 from wheatslip.config.changes import Change, ChangeKind, changes_between
 from wheatslip.config.head import Head
-from wheatslip.config.releases import Beaten, Refused, Releases
+from wheatslip.config.releases import Refused, Releases, VersionConflict
 from wheatslip.config.signing import (
     SignedBundle,
     load_keyring,
@@ -103,7 +103,7 @@
             )
             winners = [a.ok_value for a in answers if isinstance(a, Ok)]
             losers = [a.err_value for a in answers if isinstance(a, Err)]
-            assert losers == [Beaten(winners[0])]
+            assert losers == [VersionConflict(winners[0])]
             assert (await releases.head()).ok_value == winners[0]
 
     run(main)
@@ -131,7 +131,7 @@
             third = bundle(version=3)
             await put_up(installation, third)
             answer = await releases.roll_out(3, third.digest())
-            assert isinstance(answer.err_value, Beaten)
+            assert isinstance(answer.err_value, VersionConflict)
 
     run(main)
 
