--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -1,4 +1,4 @@
-"""Cold backend servers behind real daemons: what they are sent stays below their bound."""
+"""Daemons keep the rate of requests at a cold backend server within its limit."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -7,10 +7,10 @@
 
 from test.helper import run
 from test.routed_fleet import configuration, fleet
-from test.test_coldstarts import BOUND, most_in_any_second
+from test.test_coldstarts import MAX_STARTS_PER_SECOND, max_in_any_second
 
 COLD_SECONDS = 1.5
-COLD = {"cold_start_s": COLD_SECONDS, "cold_per_s": 8}
+COLD_START_SETTINGS = {"cold_start_s": COLD_SECONDS, "cold_per_s": 8}
 SETTINGS = {
     "more_backend": "cold-overage = 1.5\ncold-slack = 8",
     "more_headers": "cold = Cold-Remaining",
@@ -18,93 +18,93 @@
 
 
 @asynccontextmanager
-async def cold_fleet(*names, **options):
-    written = configuration()
-    written["services"]["papers"] |= COLD
-    async with fleet(*names, written=written, **SETTINGS, **options) as one:
-        yield one
+async def cold_fleet(*daemon_names, **options):
+    config = configuration()
+    config["services"]["papers"] |= COLD_START_SETTINGS
+    async with fleet(*daemon_names, written=config, **SETTINGS, **options) as cluster:
+        yield cluster
 
 
 def turn_cold(backend):
     backend.cold_until = asyncio.get_running_loop().time() + COLD_SECONDS
 
 
-def most_while_cold(backend):
-    """The most requests that it got in any second of its coldness."""
-    return most_in_any_second(at for at in backend.arrivals if at < backend.cold_until)
+def max_per_second_while_cold(backend):
+    """Largest number of requests that arrived in any second of its cold period."""
+    return max_in_any_second(at for at in backend.arrivals if at < backend.cold_until)
 
 
-async def press(one, seconds, rate=100, by="a"):
-    """Ask at `rate` a second whatever comes of it; the statuses."""
+async def press(cluster, seconds, rate=100, daemon_name="a"):
+    """Sends `rate` requests per second without awaiting answers; returns the statuses."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
-    asked = []
+    pending = []
     while loop.time() < end:
-        asked.append(asyncio.create_task(one.ask(by)))
+        pending.append(asyncio.create_task(cluster.ask(daemon_name)))
         await asyncio.sleep(1 / rate)
-    return [(await answer)[0] for answer in asked]
+    return [(await answer)[0] for answer in pending]
 
 
-def test_a_server_that_started_cold_gets_no_more_than_its_bound_and_then_all():
+def test_cold_server_gets_limited_requests_until_it_is_warm():
     async def scenario():
-        async with cold_fleet("a") as one:
-            backend = one.backends["a"]
+        async with cold_fleet("a") as cluster:
+            backend = cluster.backends["a"]
             backend.server_id = "i-next"
             turn_cold(backend)
-            assert await one.beat("a", 1) == 200
+            assert await cluster.beat("a", 1) == 200
             backend.arrivals.clear()
-            statuses = await press(one, COLD_SECONDS)
-            assert 0 < most_while_cold(backend) <= BOUND
+            statuses = await press(cluster, COLD_SECONDS)
+            assert 0 < max_per_second_while_cold(backend) <= MAX_STARTS_PER_SECOND
             assert set(statuses) <= {200, 503} and statuses.count(200) >= 8
-            assert set(await press(one, 0.3)) == {200}
+            assert set(await press(cluster, 0.3)) == {200}
 
     run(scenario)
 
 
-def test_a_server_that_turned_cold_on_its_feet_is_heeded_by_its_heartbeat():
+def test_running_server_that_turns_cold_is_limited_after_its_heartbeat():
     async def scenario():
-        async with cold_fleet("a") as one:
-            await one.beat("a", 1)
-            turn_cold(one.backends["a"])
-            await one.beat("a", 2)
-            one.backends["a"].arrivals.clear()
-            await press(one, COLD_SECONDS)
-            assert most_while_cold(one.backends["a"]) <= BOUND
+        async with cold_fleet("a") as cluster:
+            await cluster.beat("a", 1)
+            turn_cold(cluster.backends["a"])
+            await cluster.beat("a", 2)
+            cluster.backends["a"].arrivals.clear()
+            await press(cluster, COLD_SECONDS)
+            assert max_per_second_while_cold(cluster.backends["a"]) <= MAX_STARTS_PER_SECOND
 
     run(scenario)
 
 
-def test_a_daemon_that_starts_beside_a_cold_server_asks_before_it_sends():
+def test_daemon_that_starts_beside_a_cold_server_limits_its_first_requests():
     async def scenario():
-        async with cold_fleet("a", "b") as one:
-            turn_cold(one.backends["a"])
-            await one.stop("a")
-            one.backends["a"].arrivals.clear()
-            await one.start("a")
-            await one.ready()
-            await press(one, COLD_SECONDS / 2, by="b")
-            assert most_while_cold(one.backends["a"]) <= BOUND
+        async with cold_fleet("a", "b") as cluster:
+            turn_cold(cluster.backends["a"])
+            await cluster.stop("a")
+            cluster.backends["a"].arrivals.clear()
+            await cluster.start("a")
+            await cluster.ready()
+            await press(cluster, COLD_SECONDS / 2, daemon_name="b")
+            assert max_per_second_while_cold(cluster.backends["a"]) <= MAX_STARTS_PER_SECOND
 
     run(scenario)
 
 
-def test_others_take_what_a_cold_server_has_no_turn_for():
+def test_other_servers_handle_requests_beyond_the_limit_of_a_cold_server():
     async def scenario():
-        async with cold_fleet("a", "b") as one:
-            for backend in one.backends.values():
+        async with cold_fleet("a", "b") as cluster:
+            for backend in cluster.backends.values():
                 backend.service = 0.01
-            turn_cold(one.backends["a"])
-            await one.beat("a", 1)
-            for backend in one.backends.values():
+            turn_cold(cluster.backends["a"])
+            await cluster.beat("a", 1)
+            for backend in cluster.backends.values():
                 backend.arrivals.clear()
-            statuses = await press(one, COLD_SECONDS / 2)
+            statuses = await press(cluster, COLD_SECONDS / 2)
             assert set(statuses) == {200}
-            assert most_while_cold(one.backends["a"]) <= BOUND
+            assert max_per_second_while_cold(cluster.backends["a"]) <= MAX_STARTS_PER_SECOND
 
     run(scenario)
 
 
-def test_coldness_of_a_new_server_is_that_of_its_own_heartbeat():
+def test_warm_time_of_a_new_server_comes_from_its_own_heartbeat():
     registration = Registration("papers", "10.0.0.9:80")
     registration.on_heartbeat(
         "i-1", Heartbeat("papers", "10.0.0.9:80", 4, 1, warm_in=3.0), 10.0
@@ -114,7 +114,7 @@
     assert registration.current.warm_at == 12.0
 
 
-def test_a_server_known_by_its_health_alone_has_told_or_not():
+def test_server_registered_by_health_has_a_warm_time_only_if_reported():
     registration = Registration("papers", "10.0.0.9:80")
     registration.on_health("i-1", 4, is_healthy=True)
     assert registration.current.warm_at is None
@@ -123,19 +123,19 @@
     assert registration.current.warm_at == 9.0
 
 
-def test_one_who_is_not_the_registered_server_gets_one_request_and_others_the_rest():
+def test_unregistered_server_at_a_known_address_gets_at_most_one_request():
     async def scenario():
-        async with cold_fleet("a", "b") as one:
-            await one.beat("a", 1)
-            await one.beat("b", 1)
-            backend = one.backends["a"]
-            backend.server_id = "i-next"  # it crashed and came back; no heartbeat yet
+        async with cold_fleet("a", "b") as cluster:
+            await cluster.beat("a", 1)
+            await cluster.beat("b", 1)
+            backend = cluster.backends["a"]
+            backend.server_id = "i-next"  # restarted after a crash, no heartbeat yet
             backend.received.clear()
-            statuses = [(await one.ask("ab"[n % 2]))[0] for n in range(30)]
+            statuses = [(await cluster.ask("ab"[n % 2]))[0] for n in range(30)]
             assert set(statuses) == {200} and len(backend.received) <= 1
-            await one.beat("a", 2, server="i-a")  # it is there after all
+            await cluster.beat("a", 2, server="i-a")  # the registered server is back
             backend.server_id = "i-a"
-            await asyncio.gather(*(one.ask("a") for _ in range(30)))
+            await asyncio.gather(*(cluster.ask("a") for _ in range(30)))
             assert len(backend.received) > 1
 
     run(scenario)
