--- a/test/test_callers.py
+++ b/test/test_callers.py
@@ -1,4 +1,4 @@
-"""The stand-in caller tells what it knows: nothing it sent may pass for "not run"."""
+"""The stand-in caller must not report a request that it has sent as not run."""
 
 import asyncio
 from random import Random
@@ -8,8 +8,8 @@
 from test.helper import run
 
 
-def test_a_request_lost_on_a_kept_connection_is_unknown_and_not_sent_again():
-    """A daemon that is killed reads a request, and takes no connection any more."""
+def test_request_lost_on_a_reused_connection_is_unknown_and_not_resent():
+    """As with a killed daemon: it has read the request and accepts no new connection."""
 
     async def scenario():
         received = []
--- a/test/test_chooser.py
+++ b/test/test_chooser.py
@@ -1,4 +1,4 @@
-"""The chooser: which backend server gets a call, by zone, standing and load."""
+"""The choice of a backend server for a call, by availability zone, health and load."""
 
 from random import Random
 
@@ -6,76 +6,76 @@
 from wheatslip.hop import LoadReport
 
 
-def upstream(name, zone="one", **known):
-    made = Upstream(name, zone, **known)
-    made.on_report(LoadReport(0, 0, 4, 0.005, 1), 0.0)
-    return made
+def make_upstream(name, zone="one", **fields):
+    upstream = Upstream(name, zone, **fields)
+    upstream.on_report(LoadReport(0, 0, 4, 0.005, 1), 0.0)
+    return upstream
 
 
-def test_a_failing_upstream_is_left_alone_and_comes_back():
+def test_failing_upstream_is_picked_again_only_after_a_pause():
     chooser = Chooser("one", Random(1))
-    failing, well = upstream("a"), upstream("b")
+    failing, healthy = make_upstream("a"), make_upstream("b")
     failing.on_failure(0.0, Random(1))
-    assert {chooser.pick([failing, well], 0.01).name for _ in range(20)} == {"b"}
-    assert {chooser.pick([failing, well], 60.0).name for _ in range(50)} == {"a", "b"}
+    assert {chooser.pick([failing, healthy], 0.01).name for _ in range(20)} == {"b"}
+    assert {chooser.pick([failing, healthy], 60.0).name for _ in range(50)} == {"a", "b"}
 
 
-def test_when_none_is_well_the_picks_spread_over_all():
+def test_picks_spread_over_all_upstreams_if_none_is_healthy():
     chooser = Chooser("one", Random(1))
-    group = [upstream(name, healthy=False) for name in "abc"]
-    assert {chooser.pick(group, 0.0).name for _ in range(50)} == {"a", "b", "c"}
+    upstreams = [make_upstream(name, healthy=False) for name in "abc"]
+    assert {chooser.pick(upstreams, 0.0).name for _ in range(50)} == {"a", "b", "c"}
 
 
 def test_draining_and_tried_upstreams_are_never_picked():
     chooser = Chooser("one", Random(1))
-    group = [upstream("a", listed_leaving=True), upstream("b")]
-    assert chooser.pick(group, 0.0, frozenset({"b"})) is None
+    upstreams = [make_upstream("a", listed_leaving=True), make_upstream("b")]
+    assert chooser.pick(upstreams, 0.0, frozenset({"b"})) is None
 
 
-def test_a_new_upstream_joins_gradually():
+def test_new_upstream_gets_a_growing_share_of_the_picks():
     rng = Random(1)
     chooser = Chooser("one", rng)
-    new, old = upstream("new", joined=10.0), upstream("old")
+    new, old = make_upstream("new", joined=10.0), make_upstream("old")
 
-    def part(now):
+    def share_of_new(now):
         return sum(chooser.pick([new, old], now).name == "new" for _ in range(400)) / 400
 
-    assert part(10.0) < 0.1
-    assert 0.15 < part(12.5) < 0.35
-    assert 0.4 < part(15.0) < 0.6
+    assert share_of_new(10.0) < 0.1
+    assert 0.15 < share_of_new(12.5) < 0.35
+    assert 0.4 < share_of_new(15.0) < 0.6
 
 
-def test_upstreams_of_which_nothing_is_known_share_the_calls():
+def test_calls_spread_evenly_over_upstreams_without_reports():
     chooser = Chooser("one", Random(1))
-    group = [Upstream("a", "one"), Upstream("b", "one")]
+    upstreams = [Upstream("a", "one"), Upstream("b", "one")]
     for _ in range(6):
-        chooser.pick(group, 0.0).on_sent()
-    assert [one.in_flight for one in group] == [3, 3]
+        chooser.pick(upstreams, 0.0).on_sent()
+    assert [upstream.in_flight for upstream in upstreams] == [3, 3]
 
 
-def large_pool(far_penalty):
-    """Thirty upstreams, evenly in three zones, and a chooser in one of them."""
-    group = [
-        upstream(f"{zone}{i}", zone) for zone in ("one", "two", "three") for i in range(10)
+def make_large_pool(far_penalty):
+    """Returns a chooser in zone "one", and thirty upstreams, ten in each of three zones."""
+    upstreams = [
+        make_upstream(f"{zone}{i}", zone) for zone in ("one", "two", "three") for i in range(10)
     ]
-    return Chooser("one", Random(1), ChooserSettings(far_penalty=far_penalty)), group
+    return Chooser("one", Random(1), ChooserSettings(far_penalty=far_penalty)), upstreams
 
 
-def test_a_large_pool_leaves_the_own_zone_only_for_its_price():
-    chooser, group = large_pool(far_penalty=0.3)
-    assert {chooser.pick(group, 0.0).zone for _ in range(500)} == {"one"}
+def test_calls_stay_in_the_own_zone_if_far_zones_have_a_penalty():
+    chooser, upstreams = make_large_pool(far_penalty=0.3)
+    assert {chooser.pick(upstreams, 0.0).zone for _ in range(500)} == {"one"}
 
 
-def test_a_full_zone_spills_over_to_one_with_room():
-    chooser, group = large_pool(far_penalty=0.02)
-    for one in group:
-        if one.zone == "one":
-            one.in_flight = 8
-    picked = [chooser.pick(group, 0.0).zone for _ in range(200)]
+def test_calls_leave_a_full_zone_for_one_with_capacity():
+    chooser, upstreams = make_large_pool(far_penalty=0.02)
+    for upstream in upstreams:
+        if upstream.zone == "one":
+            upstream.in_flight = 8
+    picked = [chooser.pick(upstreams, 0.0).zone for _ in range(200)]
     assert picked.count("one") < 20
 
 
-def test_zones_without_a_price_share_the_calls():
-    chooser, group = large_pool(far_penalty=0.0)
-    picked = [chooser.pick(group, 0.0) for _ in range(600)]
-    assert {one.name for one in picked} == {one.name for one in group}
+def test_calls_spread_over_all_zones_without_a_penalty():
+    chooser, upstreams = make_large_pool(far_penalty=0.0)
+    picked = [chooser.pick(upstreams, 0.0) for _ in range(600)]
+    assert {upstream.name for upstream in picked} == {upstream.name for upstream in upstreams}
