--- a/test/test_bundle.py
+++ b/test/test_bundle.py
@@ -1,4 +1,4 @@
-"""Bundles, sign-off and releases, with operators who race and answers that are lost."""
+"""Bundles, signatures and releases, with concurrent operators and lost responses."""
 
 import asyncio
 from random import Random
@@ -25,12 +25,12 @@
 from test.helper import BUNDLE, OPERATORS, Installation, bundle, run
 
 
-def test_a_bundle_survives_its_canonical_form():
+def test_bundle_is_unchanged_after_encoding_and_decoding():
     assert decode_bundle(bundle().canonical()) == Ok(bundle())
 
 
 @pytest.mark.parametrize(
-    ("text", "complaint"),
+    ("text", "problem_text"),
     [
         ("", "[bundle] version"),
         ("[bundle]\nversion = 0", "[bundle] version = '0'"),
@@ -42,9 +42,9 @@
         ("[bundle\nversion", "an INI file"),
     ],
 )
-def test_what_is_wrong_is_named(text, complaint):
+def test_problem_names_the_file_and_the_faulty_item(text, problem_text):
     problems = parse_bundle(text, "b.ini").unwrap_err()
-    assert any(complaint in str(problem) for problem in problems)
+    assert any(problem_text in str(problem) for problem in problems)
     assert all(str(problem).startswith("b.ini: ") for problem in problems)
 
 
@@ -53,7 +53,7 @@
     assert len(parse_bundle(text, "b.ini").unwrap_err()) == 2
 
 
-def test_changes_are_named():
+def test_changes_name_the_item_and_its_fields():
     new = bundle(BUNDLE.replace("slots = 4", "slots = 5"))
     assert changes_between(bundle(), new) == [
         Change(ChangeKind.CHANGED, "pool papers", ("slots",))
@@ -68,22 +68,22 @@
     return private, load_keyring(tmp_path)
 
 
-def test_two_operators_must_have_signed_these_very_bytes(keys):
+def test_bundle_needs_two_operators_signatures_of_its_exact_bytes(keys):
     private, keyring = keys
     body = bundle().canonical().decode()
-    both = tuple(sign(bundle(), name, private[name]) for name in OPERATORS)
-    assert verify(SignedBundle(body, both), keyring) == Ok(bundle())
-    assert isinstance(verify(SignedBundle(body, both[:1]), keyring), Err)
-    assert isinstance(verify(SignedBundle(body, (both[0], both[0])), keyring), Err)
+    signatures = tuple(sign(bundle(), name, private[name]) for name in OPERATORS)
+    assert verify(SignedBundle(body, signatures), keyring) == Ok(bundle())
+    assert isinstance(verify(SignedBundle(body, signatures[:1]), keyring), Err)
+    assert isinstance(verify(SignedBundle(body, (signatures[0], signatures[0])), keyring), Err)
     tampered = body.replace('"slots":4', '"slots":9')
     assert tampered != body
-    assert isinstance(verify(SignedBundle(tampered, both), keyring), Err)
-    stranger = sign(bundle(), "stranger", private["anna"])
-    assert isinstance(verify(SignedBundle(body, (both[0], stranger)), keyring), Err)
+    assert isinstance(verify(SignedBundle(tampered, signatures), keyring), Err)
+    unknown_signer = sign(bundle(), "stranger", private["anna"])
+    assert isinstance(verify(SignedBundle(body, (signatures[0], unknown_signer)), keyring), Err)
 
 
-async def put_up(installation, new):
-    """Propose and sign a bundle, without rolling it out."""
+async def propose_and_sign(installation, new):
+    """Returns the `Releases` that can roll out the bundle."""
     releases = Releases(installation.client, load_keyring(installation.folder))
     (await releases.propose(new)).unwrap()
     for operator in OPERATORS:
@@ -92,14 +92,14 @@
     return releases
 
 
-def test_of_two_operators_who_race_one_wins_and_the_other_is_told(tmp_path):
+def test_of_two_concurrent_rollouts_one_wins_and_the_other_is_refused(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
-            rivals = [bundle(), bundle(BUNDLE.replace("slots = 4", "slots = 5"))]
-            for rival in rivals:
-                releases = await put_up(installation, rival)
+            candidates = [bundle(), bundle(BUNDLE.replace("slots = 4", "slots = 5"))]
+            for candidate in candidates:
+                releases = await propose_and_sign(installation, candidate)
             answers = await asyncio.gather(
-                *(releases.roll_out(1, rival.digest()) for rival in rivals)
+                *(releases.roll_out(1, candidate.digest()) for candidate in candidates)
             )
             winners = [a.ok_value for a in answers if isinstance(a, Ok)]
             losers = [a.err_value for a in answers if isinstance(a, Err)]
@@ -109,10 +109,10 @@
     run(main)
 
 
-def test_a_rollout_whose_answer_was_lost_reports_the_truth(tmp_path):
+def test_rollout_with_a_lost_response_reports_its_actual_result(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
-            releases = await put_up(installation, bundle())
+            releases = await propose_and_sign(installation, bundle())
             installation.platform.faults = Faults(lose_write_answers=1)
             answer = await releases.roll_out(1, bundle().digest())
             assert answer == Ok(Head(1, bundle().digest()))
@@ -128,9 +128,9 @@
             await releases.propose(bundle())
             answer = await releases.roll_out(1, bundle().digest())
             assert isinstance(answer.err_value, Refused)
-            third = bundle(version=3)
-            await put_up(installation, third)
-            answer = await releases.roll_out(3, third.digest())
+            version_3 = bundle(version=3)
+            await propose_and_sign(installation, version_3)
+            answer = await releases.roll_out(3, version_3.digest())
             assert isinstance(answer.err_value, Beaten)
 
     run(main)
@@ -144,16 +144,16 @@
             await releases.propose(bundle())
             head = Head(1, bundle().digest())
             await installation.client.put("head", "bundle", head, 0)
-            calls = node.daemon.feed.client.calls
-            # Once it has read head and bundle it has had the chance to be taken in.
-            while node.daemon.feed.client.calls < calls + 2:
+            calls_before = node.daemon.feed.client.calls
+            # Two reads, of the head and of the bundle, suffice to apply a signed bundle.
+            while node.daemon.feed.client.calls < calls_before + 2:
                 await asyncio.sleep(0.01)
             assert node.daemon.view.version == 0
 
     run(main)
 
 
-def test_a_conditional_update_conflicts_and_a_forgotten_watch_is_too_old(tmp_path):
+def test_stale_update_conflicts_and_watch_of_an_unknown_version_is_too_old(tmp_path):
     async def main():
         async with Installation(tmp_path) as installation:
             client: ObjectClient = installation.client
@@ -163,8 +163,8 @@
             assert await client.changes("thing", 99, wait=0) == Err(TooOld())
             listing = (await client.changes("thing", 0, wait=5)).unwrap()
             assert [item.name for item in listing.items] == ["a"]
-            other = ObjectClient("127.0.0.1:1", Random(1))
-            assert isinstance(await other.get("thing", "a"), Err)
-            await other.close()
+            unreachable = ObjectClient("127.0.0.1:1", Random(1))
+            assert isinstance(await unreachable.get("thing", "a"), Err)
+            await unreachable.close()
 
     run(main)
--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: what a bundle may say of them, and which one a request takes."""
+"""Routes: their settings in a bundle, and which one a request matches."""
 
 from random import Random
 
@@ -30,24 +30,24 @@
 SEGMENTS = st.lists(st.sampled_from(["a", "b", "ab"]), max_size=4)
 
 
-def route(prefix, host="h"):
+def make_route(prefix, host="h"):
     return Route(prefix, host, prefix, (Split("papers"),))
 
 
-def test_a_route_is_read_with_all_that_it_says():
-    (found,) = parse_bundle(ROUTED, "test").unwrap().routes
-    assert found == Route(
+def test_all_settings_of_a_route_are_parsed():
+    (route,) = parse_bundle(ROUTED, "test").unwrap().routes
+    assert route == Route(
         "view", "papers.example", "/view/", (Split("papers"),), True, 1.0, 0.4, 2, 2
     )
 
 
-def test_splits_are_read_with_their_weights():
+def test_splits_are_parsed_with_their_weights():
     text = ROUTED.replace("services = papers", "services = papers:90, papers:10")
-    (found,) = parse_bundle(text, "test").unwrap().routes
-    assert found.splits == (Split("papers", 90.0), Split("papers", 10.0))
+    (route,) = parse_bundle(text, "test").unwrap().routes
+    assert route.splits == (Split("papers", 90.0), Split("papers", 10.0))
 
 
-def test_bad_routes_are_named_with_what_is_right():
+def test_problem_names_the_invalid_setting_of_a_route():
     for bad, key in (
         (ROUTED.replace("/view/", "view"), "prefix"),
         (ROUTED.replace("services = papers", "services = papers:0"), "services"),
@@ -60,7 +60,7 @@
         assert [problem.key for problem in problems] == [key], bad
 
 
-def test_a_change_of_a_route_is_told_and_travels_as_a_difference():
+def test_changed_route_is_listed_and_encoded_as_a_delta():
     old = parse_bundle(ROUTED, "test").unwrap()
     new = parse_bundle(
         ROUTED.replace("version = 1", "version = 2").replace("400ms", "300ms"), "test"
@@ -77,21 +77,21 @@
 
 @given(st.lists(SEGMENTS, max_size=6), SEGMENTS, st.booleans())
 @settings(max_examples=300, derandomize=True, deadline=None)
-def test_the_longest_prefix_of_the_host_decides(prefixes, path_segments, is_folder):
+def test_longest_matching_prefix_of_the_host_is_chosen(prefixes, path_segments, is_folder):
     paths = {"/" + "".join(s + "/" for s in segments) for segments in prefixes}
-    table = RouteTable([route(p) for p in paths] + [route("/", host="other")])
+    table = RouteTable([make_route(p) for p in paths] + [make_route("/", host="other")])
     path = "/" + "/".join(path_segments) + ("/" if is_folder and path_segments else "")
-    fitting = [p for p in paths if path.startswith(p)]
-    found = table.find("H", path)
-    assert (found.prefix if found else None) == max(fitting, key=len, default=None)
+    matching = [p for p in paths if path.startswith(p)]
+    route = table.find("H", path)
+    assert (route.prefix if route else None) == max(matching, key=len, default=None)
 
 
 def test_an_unknown_host_has_no_route():
-    assert RouteTable([route("/")]).find("nobody", "/") is None
+    assert RouteTable([make_route("/")]).find("nobody", "/") is None
 
 
 def test_splits_get_their_share_of_the_requests():
-    split = Route("r", "h", "/", (Split("a", 90.0), Split("b", 10.0)))
+    route = Route("r", "h", "/", (Split("a", 90.0), Split("b", 10.0)))
     rng = Random(5)
-    drawn = [pick_service(split, rng) for _ in range(5000)]
-    assert 0.08 < drawn.count("b") / len(drawn) < 0.12
+    picked = [pick_service(route, rng) for _ in range(5000)]
+    assert 0.08 < picked.count("b") / len(picked) < 0.12
