--- a/test/test_chunks.py
+++ b/test/test_chunks.py
@@ -1,4 +1,4 @@
-"""Control messages in chunks: what is sent comes out whole, and defects of a sender end it."""
+"""Control messages in chunks arrive unchanged; invalid or oversized ones are rejected."""
 
 import zlib
 from random import Random
@@ -15,33 +15,41 @@
     split_message,
 )
 
-EDGES = (0, 1, COMPRESS_FROM_BYTES - 1, COMPRESS_FROM_BYTES, COMPRESS_FROM_BYTES + 1)
+SIZES_AROUND_COMPRESSION = (
+    0,
+    1,
+    COMPRESS_FROM_BYTES - 1,
+    COMPRESS_FROM_BYTES,
+    COMPRESS_FROM_BYTES + 1,
+)
 
 
-def join(joiner, given):
-    """What the joiner answers to each chunk."""
-    return [joiner.add(chunk).unwrap() for chunk in given]
+def add_all(joiner, message_chunks):
+    """Returns the result of each chunk: the joined message, or None before the last one."""
+    return [joiner.add(chunk).unwrap() for chunk in message_chunks]
 
 
 @given(st.lists(st.binary(max_size=3000), max_size=5))
-def test_messages_come_out_as_they_were_sent(messages):
+def test_joined_messages_equal_the_sent_ones(messages):
     joiner = Joiner()
     for message in messages:
-        *before, whole = join(joiner, split_message(message))
-        assert whole == message
-        assert not any(before)
+        *incomplete, joined = add_all(joiner, split_message(message))
+        assert joined == message
+        assert not any(incomplete)
 
 
-@pytest.mark.parametrize("size", [*EDGES, CHUNK_BYTES, CHUNK_BYTES + 1, 5 * CHUNK_BYTES])
-def test_no_chunk_is_longer_than_a_receiver_waits_for(size):
-    message = Random(1).randbytes(size)  # that can't be packed
+@pytest.mark.parametrize(
+    "size", [*SIZES_AROUND_COMPRESSION, CHUNK_BYTES, CHUNK_BYTES + 1, 5 * CHUNK_BYTES]
+)
+def test_no_chunk_exceeds_the_maximum_size(size):
+    message = Random(1).randbytes(size)  # not compressible
     sent = list(split_message(message))
     assert [chunk.is_last for chunk in sent] == [False] * (len(sent) - 1) + [True]
     assert all(len(chunk.data) <= CHUNK_BYTES for chunk in sent)
-    assert join(Joiner(), sent)[-1] == message
+    assert add_all(Joiner(), sent)[-1] == message
 
 
-def test_many_routes_are_sent_in_a_fifth_of_their_bytes_or_less():
+def test_many_routes_are_compressed_to_less_than_a_fifth():
     message = b"".join(
         b'{"host":"host-%d.example","prefix":"/%x/"}' % (n, n) for n in range(1400)
     )
@@ -53,12 +61,12 @@
     [b"", b"no such thing", zlib.compress(b"x" * 5000)[:-3]],
     ids=["empty", "bad", "cut"],
 )
-def test_what_cannot_be_unpacked_is_refused(data):
+def test_data_that_cannot_be_decompressed_is_rejected(data):
     assert Joiner().add(Chunk(data, is_last=True, is_packed=True)).is_err()
 
 
 @pytest.mark.parametrize("is_packed", [False, True])
-def test_a_message_without_an_end_does_not_fill_the_memory(monkeypatch, is_packed):
+def test_message_above_the_maximum_size_is_rejected(monkeypatch, is_packed):
     monkeypatch.setattr(chunks, "MAX_MESSAGE_BYTES", 10_000)
     data = zlib.compress(b"x" * 20_000) if is_packed else b"x" * 20_000
     assert Joiner().add(Chunk(data, is_last=True, is_packed=is_packed)).is_err()
--- a/test/test_tree_model.py
+++ b/test/test_tree_model.py
@@ -1,11 +1,12 @@
-"""The tree and the ring of control data, explored: daemons die and return, are listed and
-dropped, and the platform lets some in and turns others away.
-
-A step: each daemon takes what its first living parent has, one that watches what the platform
-tells if it is let in, and one whose parents are all dead likewise. Whatever came before, after
-as many calm steps as the ring and the tree are long every daemon has the newest version, if any
-living watcher is let in. Only a daemon whose parents are all dead while the platform turns it
-away may lack it: its list still shows the dead.
+"""Model test of the relay tree and the watcher ring: updates must reach every daemon.
+
+Daemons die, restart and are removed from the list, and the platform accepts only some of them.
+In one step each daemon reads from its first living parent. A watcher, or a daemon whose parents
+are all dead, also reads from the platform if accepted there.
+
+Without further events, every daemon has the newest version after as many steps as the ring and
+the tree are long, provided that a living watcher is accepted. The only exceptions are a daemon
+that is not accepted while its list contains only dead parents, and the daemons that follow it.
 """
 
 import itertools
@@ -22,12 +23,12 @@
     watcher_ring,
 )
 
-SEEDS = 200
-COURSE = 30  # events before it is calm
+SEED_COUNT = 200
+EVENTS_PER_SEED = 30  # before the fleet converges
 
 
 def depth_of(order):
-    """Steps from the last member of a zone by first parents to a watcher."""
+    """Steps along first parents from the last member of a zone to a watcher."""
     depth = 0
     name = order[-1] if order else ""
     while parents := parents_of(name, order):
@@ -38,12 +39,12 @@
 
 @dataclass
 class Fleet:
-    """Daemons by zone; all know the same list."""
+    """Daemons by zone; all have the same list."""
 
     zones: dict[str, list[str]]
     alive: set[str] = field(init=False)
     listed: set[str] = field(init=False)
-    let_in: set[str] = field(init=False)
+    accepted: set[str] = field(init=False)
     versions: dict[str, int] = field(init=False)
     newest: int = 1
 
@@ -51,11 +52,11 @@
         self.names = [name for members in self.zones.values() for name in members]
         self.alive = set(self.names)
         self.listed = set(self.names)
-        self.let_in = set(self.names)
+        self.accepted = set(self.names)
         self.versions = dict.fromkeys(self.names, 0)
-        self.order_anew()
+        self.rebuild_orders()
 
-    def order_anew(self):
+    def rebuild_orders(self):
         self.orders = {
             zone: relay_order(name for name in members if name in self.listed)
             for zone, members in self.zones.items()
@@ -65,14 +66,14 @@
         self.watchers = set()
         for order in self.orders.values():
             for name in order:
-                watches = is_watcher(name, order)
-                if watches:
+                is_zone_watcher = is_watcher(name, order)
+                if is_zone_watcher:
                     self.watchers.add(name)
                 ring = ring_parents_of(name, self.ring)
-                self.parents[name] = ring if watches else parents_of(name, order)
+                self.parents[name] = ring if is_zone_watcher else parents_of(name, order)
 
     @property
-    def calm_steps(self):
+    def steps_to_converge(self):
         return len(self.ring) + max(depth_of(order) for order in self.orders.values()) + 1
 
     def living_parent(self, name):
@@ -82,86 +83,88 @@
         before = dict(self.versions)
         for name in self.alive & self.listed:
             parent = self.living_parent(name)
-            reads = name in self.watchers or parent is None
-            seen = [before[name]]
+            reads_platform = name in self.watchers or parent is None
+            available = [before[name]]
             if parent is not None:
-                seen.append(before[parent])
-            if reads and name in self.let_in:
-                seen.append(self.newest)
-            self.versions[name] = max(seen)
+                available.append(before[parent])
+            if reads_platform and name in self.accepted:
+                available.append(self.newest)
+            self.versions[name] = max(available)
 
-    def calm_down(self):
-        for _ in range(self.calm_steps):
+    def converge(self):
+        for _ in range(self.steps_to_converge):
             self.step()
 
-    def check(self):
-        """What must hold once it is calm; how many were stranded."""
-        if not self.watchers & self.alive & self.let_in:
+    def check_versions(self):
+        """Checks the versions after `converge`; returns how many daemons lack the newest."""
+        if not self.watchers & self.alive & self.accepted:
             return 0
         stranded = 0
         for name in self.alive & self.listed:
             if self.versions[name] == self.newest:
                 continue
-            top = name
-            while (parent := self.living_parent(top)) is not None and top not in self.watchers:
-                top = parent
-            assert top not in self.watchers and top not in self.let_in
+            ancestor = name
+            while (
+                parent := self.living_parent(ancestor)
+            ) is not None and ancestor not in self.watchers:
+                ancestor = parent
+            assert ancestor not in self.watchers and ancestor not in self.accepted
             stranded += 1
         return stranded
 
     def kill(self, name):
         self.alive.discard(name)
-        self.versions[name] = 0  # nothing outlasts a process
+        self.versions[name] = 0  # daemons store nothing
 
-    def come_back(self, name):
+    def restart(self, name):
         self.alive.add(name)
         self.listed.add(name)
-        self.order_anew()
+        self.rebuild_orders()
 
-    def drop_dead(self):
+    def unlist_dead(self):
         self.listed &= self.alive
-        self.order_anew()
+        self.rebuild_orders()
 
 
-def test_every_state_of_two_small_zones():
+def test_two_small_zones_converge_from_every_state():
     zones = {"one": ["a", "b", "c", "d"], "two": ["e", "f", "g"]}
     names = [name for members in zones.values() for name in members]
     fleet = Fleet(zones)
     subsets = [
         set(subset) for size in range(8) for subset in itertools.combinations(names, size)
     ]
-    for fleet.alive, fleet.let_in in itertools.product(subsets, subsets):
+    for fleet.alive, fleet.accepted in itertools.product(subsets, subsets):
         fleet.versions = dict.fromkeys(names, 0)
-        fleet.calm_down()
-        fleet.check()
+        fleet.converge()
+        fleet.check_versions()
 
 
-def test_without_the_ring_a_zone_that_is_turned_away_hears_nothing():
-    """The check notices: this is what the ring is for."""
+def test_zone_without_accepted_watchers_gets_no_updates_without_the_ring():
+    """`check_versions` must detect the failure that the ring prevents."""
     fleet = Fleet({"one": ["a", "b", "c"], "two": ["d", "e", "f"]})
     for name in fleet.watchers:
         fleet.parents[name] = []
-    fleet.let_in -= fleet.watchers & {"a", "b", "c"}
-    fleet.calm_down()
+    fleet.accepted -= fleet.watchers & {"a", "b", "c"}
+    fleet.converge()
     with pytest.raises(AssertionError):
-        fleet.check()
+        fleet.check_versions()
 
 
-def course(fleet, random):
-    """Events at random; no daemon goes back within a life."""
-    for _ in range(COURSE):
+def run_random_events(fleet, random):
+    """Random events; no daemon may return to an older version while it is alive."""
+    for _ in range(EVENTS_PER_SEED):
         name = random.choice(fleet.names)
         event = random.randrange(7)
         if event == 0:
             fleet.kill(name)
         elif event == 1:
-            fleet.come_back(name)
+            fleet.restart(name)
         elif event == 2:
-            fleet.drop_dead()
+            fleet.unlist_dead()
         elif event == 3:
-            fleet.let_in.discard(name)
+            fleet.accepted.discard(name)
         elif event == 4:
-            fleet.let_in = {n for n in fleet.names if random.random() < random.random()}
+            fleet.accepted = {n for n in fleet.names if random.random() < random.random()}
         elif event == 5:
             fleet.newest += 1
         before = dict(fleet.versions)
@@ -170,23 +173,23 @@
 
 
 @pytest.mark.parametrize(("daemons", "zones"), [(60, 3), (200, 5)])
-def test_any_course_of_events_ends_with_the_newest_everywhere(daemons, zones):
-    for seed in range(SEEDS):
+def test_newest_version_reaches_all_daemons_after_any_events(daemons, zones):
+    for seed in range(SEED_COUNT):
         random = Random(seed)
         members = {
             f"zone-{z}": [f"{z}-{n}" for n in range(daemons // zones)] for z in range(zones)
         }
         fleet = Fleet(members)
-        course(fleet, random)
+        run_random_events(fleet, random)
         fleet.newest += 1
-        fleet.calm_down()
-        fleet.check()
-        fleet.drop_dead()
-        fleet.calm_down()
-        assert fleet.check() == 0, seed
+        fleet.converge()
+        fleet.check_versions()
+        fleet.unlist_dead()
+        fleet.converge()
+        assert fleet.check_versions() == 0, seed
 
 
-def test_two_watchers_a_zone_stand_side_by_side_in_the_ring():
+def test_two_watchers_of_a_zone_are_neighbours_in_the_ring():
     fleet = Fleet({"one": ["a", "b", "c"], "two": ["d", "e", "f"]})
     assert len(fleet.ring) == 2 * WATCHERS
     for order in fleet.orders.values():
