--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -1,4 +1,4 @@
-"""The key ledger: whatever is forgotten, restarted or re-owned, no key runs twice."""
+"""The key ledger: no key runs twice, even after an eviction, a restart or a new owner."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """A ledger that is restarted and overflows, against a list of what ran."""
+    """A small ledger that is restarted and evicts records, and the set of keys that ran."""
 
     def __init__(self):
         super().__init__()
@@ -23,22 +23,22 @@
         self.ran = set()
 
     @rule(skew=st.floats(-2.0, 2.0))
-    def make(self, skew):
+    def create_key(self, skew):
         self.keys.append(make_key(self.rng, self.now + skew))
 
-    @rule(index=st.integers(0, 50), ends=st.sampled_from(["answered", "lost", "refused"]))
-    def send(self, index, ends):
+    @rule(index=st.integers(0, 50), outcome=st.sampled_from(["answered", "lost", "refused"]))
+    def send(self, index, outcome):
         if not self.keys:
             return
         key = self.keys[index % len(self.keys)]
         if self.ledger.claim("w", key, 0.0, self.now).state is not KeyState.FRESH:
             return
-        if ends == "refused":
+        if outcome == "refused":
             self.ledger.not_run("w", key)
             return
         assert key not in self.ran
         self.ran.add(key)
-        self.ledger.done("w", key, KeptAnswer(200) if ends == "answered" else None)
+        self.ledger.done("w", key, KeptAnswer(200) if outcome == "answered" else None)
 
     @rule(seconds=st.sampled_from([0.01, 0.5, 3.0, RECORD_SECONDS]))
     def wait(self, seconds):
@@ -53,13 +53,13 @@
 TestLedger.settings = settings(max_examples=200, derandomize=True, deadline=None)
 
 
-def test_keys_tell_when_they_were_made():
+def test_key_contains_its_creation_time():
     assert abs(key_time(make_key(Random(1), 1234.5)) - 1234.5) < 0.001
     assert key_time("not a key") is None
     assert key_time("c232ab00-9414-11ec-b3c8-9f6bdeced846") is None
 
 
-def test_the_first_answer_is_kept_and_another_workspaces_key_is_its_own():
+def test_first_answer_is_kept_and_workspaces_have_separate_keys():
     ledger = KeyLedger(0.0)
     key = make_key(Random(1), 100.0)
     assert ledger.claim("a", key, 0.0, 100.0).state is KeyState.FRESH
@@ -69,14 +69,14 @@
     assert ledger.claim("b", key, 0.0, 100.0).state is KeyState.FRESH
 
 
-def test_a_new_owner_does_not_run_what_the_old_one_may_have():
+def test_new_owner_does_not_run_a_key_older_than_its_ownership():
     ledger = KeyLedger(0.0)
     key = make_key(Random(1), 100.0)
     assert ledger.claim("a", key, owned_since=101.0, now=102.0).state is KeyState.TOO_OLD
 
 
-def rank(key, members):
-    """The members in the order in which they own a key when those before them leave."""
+def rank_owners(key, members):
+    """The members in the order in which they own `key` as the preceding ones leave."""
     ranked, rest = [], list(members)
     while rest:
         ranked.append(owner(key, rest))
@@ -88,25 +88,25 @@
     members = [f"papers-{i}" for i in range(6)]
     keys = [f"key-{i}" for i in range(300)]
     for key in keys:
-        before = rank(key, members)
+        before = rank_owners(key, members)
         after = owner(key, [m for m in members if m != "papers-3"])
         assert after == next(m for m in before if m != "papers-3")
 
 
-def test_a_thawed_owner_does_not_act_and_a_new_one_waits_for_its_lease():
+def test_new_owner_waits_until_the_lease_of_a_frozen_owner_has_expired():
     key = next(f"k{i}" for i in range(100) if owner(f"k{i}", ["a", "b"]) == "a")
-    frozen, heir = OwnerHistory(), OwnerHistory()
-    for history in (frozen, heir):
+    frozen, successor = OwnerHistory(), OwnerHistory()
+    for history in (frozen, successor):
         history.change(["a", "b"], 100.0)
-    heir.change(["b"], 200.0)
-    # The frozen owner last saw the list just before it was unlisted, by a slow clock.
-    acts_until = 200.0 + DAEMON_CLOCK_SKEW_SECONDS + OWNER_LEASE_SECONDS
-    assert not frozen.is_lease_held(checked=200.0, now=acts_until)
-    assert heir.exclusive_since(key, "b") >= acts_until
-    assert heir.exclusive_since(key, "a") is None
+    successor.change(["b"], 200.0)
+    # The frozen owner read the list just before its own removal, and its clock is slow.
+    lease_end = 200.0 + DAEMON_CLOCK_SKEW_SECONDS + OWNER_LEASE_SECONDS
+    assert not frozen.is_lease_held(checked=200.0, now=lease_end)
+    assert successor.exclusive_since(key, "b") >= lease_end
+    assert successor.exclusive_since(key, "a") is None
 
 
-def test_owned_since_is_the_start_of_the_unbroken_time():
+def test_owned_since_is_the_start_of_uninterrupted_ownership():
     history = OwnerHistory()
     key = next(f"k{i}" for i in range(100) if owner(f"k{i}", ["a", "b"]) == "b")
     history.change(["a"], 1.0)
--- a/test/test_losses.py
+++ b/test/test_losses.py
@@ -1,4 +1,4 @@
-"""The table of what played days lost."""
+"""The table of losses by day and cause."""
 
 from bench.losses import REST, day_losses, table
 
@@ -10,19 +10,19 @@
         ["machine-seconds", 600.0, 0.05],
         ["worth refused again", 3.0, 0.02],
         ["worth given up late, untried", 2.0, 0.01],
-        ["a price of tomorrow", 1.0, 0.02],
+        ["an unlisted price", 1.0, 0.02],
     ],
 }
 
 
-def test_a_day_adds_up_to_one_whatever_its_prices_are_called():
+def test_worth_and_losses_add_up_to_one_with_an_unlisted_price():
     day = day_losses(DAY)
     assert abs(day.worth + sum(day.losses.values()) - 1.0) < 1e-9
     assert day.losses["refusals"] == 0.03
     assert day.losses[REST] == 0.02
 
 
-def test_the_table_has_a_row_a_day_and_a_column_a_cause():
+def test_table_has_a_row_per_day_and_a_column_per_cause():
     lines = table([day_losses(DAY)] * 2).splitlines()
     assert len(lines) == 4
     assert len({line.count("|") for line in lines}) == 1
