--- a/test/test_resting.py
+++ b/test/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections that a backend server forgets: one reset, and the others are not used."""
+"""Idle connections that a backend server drops: after one reset the others are not reused."""
 
 import asyncio
 import errno
@@ -15,10 +15,10 @@
 from standins.cluster import HOST
 from test.helper import run
 
-AGE = 1.0  # seconds
+IDLE_SECONDS = 1.0
 
 
-def test_a_reset_bounds_the_rest_that_is_trusted_for_a_while():
+def test_reset_limits_the_idle_time_of_reused_connections_for_a_while():
     limit = IdleLimit()
     assert limit.max_idle(0.0) == float("inf")
     limit.on_reset(0.3, 1.0)
@@ -26,34 +26,34 @@
     assert limit.max_idle(1.0 + LIMIT_VALID_SECONDS) == float("inf")
 
 
-def test_the_shortest_rest_that_ended_in_a_reset_counts():
+def test_shortest_idle_time_that_ended_in_a_reset_counts():
     limit = IdleLimit()
     limit.on_reset(0.2, 1.0)
     limit.on_reset(2.0, 2.0)
     assert limit.max_idle(2.0) == 0.1
 
 
-def test_a_reset_of_a_connection_that_was_just_used_tells_nothing():
+def test_reset_of_a_connection_that_was_just_used_is_ignored():
     limit = IdleLimit()
     limit.on_reset(0.0, 1.0)
     assert limit.max_idle(1.0) == float("inf")
 
 
-class ForgetfulServer:
-    """Answers the first request of a connection, and resets the second."""
+class ResettingServer:
+    """Answers the first request of a connection, and resets the connection at the second."""
 
     def __init__(self):
         self.server = Server(self.handle)
-        self.seen = set()
-        self.all_there = asyncio.Barrier(3)
+        self.served_connections = set()
+        self.all_connected = asyncio.Barrier(3)
 
     async def handle(self, exchange):
-        if exchange.connection in self.seen:
+        if exchange.connection in self.served_connections:
             exchange.connection.abort()
             return
-        self.seen.add(exchange.connection)
+        self.served_connections.add(exchange.connection)
         if exchange.head.target == b"/together":
-            await self.all_there.wait()
+            await self.all_connected.wait()
         await exchange.respond(ResponseHead(200))
 
 
@@ -67,7 +67,7 @@
     return answer
 
 
-def test_connections_that_fall_silent_together_cost_one_request():
+def test_idle_connections_are_not_reused_after_one_timed_out():
     async def scenario():
         server = Server(lambda exchange: exchange.respond(ResponseHead(200)))
         await server.listen(HOST, 0)
@@ -76,7 +76,7 @@
         for connection in connections:
             pool.release(connection)
         used = await pool.acquire(1.0)
-        # What the loop says of a socket whose bytes were not acknowledged in time.
+        # The event loop's error for a socket whose bytes were not acknowledged in time.
         used.connection_lost(OSError(errno.ETIMEDOUT, "timed out"))
         assert used.timed_out and not used.request_unacknowledged
         pool.release(used)
@@ -89,11 +89,11 @@
     run(scenario)
 
 
-def test_a_request_that_the_other_machine_did_not_take_is_told_from_one_that_was_lost_there():
+def test_request_counts_as_unacknowledged_only_after_an_early_timeout():
     async def scenario():
         server = Server(lambda exchange: asyncio.Event().wait())
         await server.listen(HOST, 0)
-        for error, later, unacknowledged in (
+        for error, elapsed, unacknowledged in (
             (errno.ETIMEDOUT, 0.0, True),
             (errno.ETIMEDOUT, KEEPALIVE_SECONDS, False),
             (errno.ECONNRESET, 0.0, False),
@@ -102,8 +102,8 @@
             connection = await pool.acquire(1.0)
             head = RequestHead(b"GET", b"/", [(b"host", b"a")])
             await connection.start_with_body(head, b"")
-            connection._sent_at -= later
-            connection.connection_lost(OSError(error, "as the loop tells it"))
+            connection._sent_at -= elapsed
+            connection.connection_lost(OSError(error, "reported by the event loop"))
             assert connection.request_unacknowledged is unacknowledged
             pool.release(connection)
         await server.stop(0.0)
@@ -111,18 +111,18 @@
     run(scenario)
 
 
-def test_after_one_reset_connections_that_rested_as_long_are_not_used():
+def test_after_one_reset_connections_idle_as_long_are_not_reused():
     async def scenario():
-        forgetful = ForgetfulServer()
-        await forgetful.server.listen(HOST, 0)
-        backend = Backend(HOST, forgetful.server.port, 10, 1.0)
+        resetting = ResettingServer()
+        await resetting.server.listen(HOST, 0)
+        backend = Backend(HOST, resetting.server.port, 10, 1.0)
         await asyncio.gather(*(ask(backend, b"/together") for _ in range(3)))
         for connection in backend._pool._idle:
-            connection.idle_since -= AGE
+            connection.idle_since -= IDLE_SECONDS
         assert isinstance(await ask(backend, b"/"), Unknown)
         assert isinstance(await ask(backend, b"/"), BackendAnswer)
-        assert len(forgetful.seen) == 4
+        assert len(resetting.served_connections) == 4
         backend.close()
-        await forgetful.server.stop(0.0)
+        await resetting.server.stop(0.0)
 
     run(scenario)
