--- a/test/test_budget.py
+++ b/test/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeated sends over all daemons, counted in any sliding window."""
+"""The retry budget of all daemons together, counted in any sliding window."""
 
 from random import Random
 
@@ -6,19 +6,19 @@
 from hypothesis import strategies as st
 from wheatslip.budget import FleetBudget, RetryBudgets
 
-WINDOW = 10.0
+WINDOW_SECONDS = 10.0
 
 
-def budgets(share=0.2, reserve=58.0, members=1, started=-100.0):
-    bound = FleetBudget(share, reserve, WINDOW)
-    return RetryBudgets(fleet=bound, members=lambda: members, started=started)
+def make_budgets(share=0.2, reserve=58.0, members=1, started=-100.0):
+    fleet_budget = FleetBudget(share, reserve, WINDOW_SECONDS)
+    return RetryBudgets(fleet=fleet_budget, members=lambda: members, started=started)
 
 
 @given(st.integers(1, 15), st.integers(0, 1000), st.floats(0.0, 60.0))
 @settings(max_examples=40, derandomize=True, deadline=None)
-def test_all_daemons_together_stay_within_the_bound_in_any_window(members, seed, rate):
+def test_all_daemons_together_stay_within_the_budget_in_any_window(members, seed, rate):
     rng = Random(seed)
-    daemons = [budgets(members=members) for _ in range(members)]
+    daemons = [make_budgets(members=members) for _ in range(members)]
     requests, retries = [], []
     now = 0.0
     while now < 25.0 and rate > 0.1:
@@ -29,36 +29,36 @@
         if budget.take():
             retries.append(now)
     for start in retries:
-        end = start + WINDOW
-        spent = sum(start <= t < end for t in retries)
-        # The requests may stand in the window before, of which the rule takes the larger.
-        asked = max(
-            sum(begin <= t < begin + WINDOW for t in requests)
-            for begin in (start, start - WINDOW / 2, start - WINDOW)
+        end = start + WINDOW_SECONDS
+        retry_count = sum(start <= t < end for t in retries)
+        # A retry is limited by the requests before it, so earlier windows count as well.
+        request_count = max(
+            sum(begin <= t < begin + WINDOW_SECONDS for t in requests)
+            for begin in (start, start - WINDOW_SECONDS / 2, start - WINDOW_SECONDS)
         )
-        assert spent <= 0.2 * asked + 58.0
+        assert retry_count <= 0.2 * request_count + 58.0
 
 
 def test_the_reserve_is_shared_among_the_members():
-    budget = budgets(share=0.0, reserve=58.0, members=13).of("w", "papers", 0.0)
+    budget = make_budgets(share=0.0, reserve=58.0, members=13).of("w", "papers", 0.0)
     assert sum(budget.take() for _ in range(100)) == 4
 
 
-def test_a_daemon_that_has_just_started_has_no_reserve_for_a_window():
-    one = budgets(share=0.0, started=0.0)
-    assert not one.of("w", "papers", 9.0).take()
-    assert one.of("w", "papers", 11.0).take()
+def test_daemon_has_no_reserve_for_one_window_after_its_start():
+    budgets = make_budgets(share=0.0, started=0.0)
+    assert not budgets.of("w", "papers", 9.0).take()
+    assert budgets.of("w", "papers", 11.0).take()
 
 
-def test_what_was_spent_comes_back_after_the_window():
-    one = budgets(share=0.0, reserve=2.0)
-    assert [one.of("w", "papers", 0.0).take() for _ in range(3)] == [True, True, False]
-    assert not one.of("w", "papers", 9.9).take()
-    assert one.of("w", "papers", 11.0).take()
+def test_spent_tokens_return_after_the_window():
+    budgets = make_budgets(share=0.0, reserve=2.0)
+    assert [budgets.of("w", "papers", 0.0).take() for _ in range(3)] == [True, True, False]
+    assert not budgets.of("w", "papers", 9.9).take()
+    assert budgets.of("w", "papers", 11.0).take()
 
 
-def test_services_have_budgets_of_their_own():
-    one = budgets(share=0.0, reserve=1.0)
-    assert one.of("w", "papers", 0.0).take()
-    assert one.of("w", "rolls", 0.0).take()
-    assert not one.of("other", "papers", 0.0).take()
+def test_each_service_has_its_own_budget():
+    budgets = make_budgets(share=0.0, reserve=1.0)
+    assert budgets.of("w", "papers", 0.0).take()
+    assert budgets.of("w", "rolls", 0.0).take()
+    assert not budgets.of("other", "papers", 0.0).take()
