--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -34,7 +34,7 @@
     return max_in_any_second(at for at in backend.arrivals if at < backend.cold_until)
 
 
-async def press(cluster, seconds, rate=100, daemon_name="a"):
+async def send_at_rate(cluster, seconds, rate=100, daemon_name="a"):
     """Sends `rate` requests per second without awaiting answers; returns the statuses."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
@@ -53,10 +53,10 @@
             turn_cold(backend)
             assert await cluster.beat("a", 1) == 200
             backend.arrivals.clear()
-            statuses = await press(cluster, COLD_SECONDS)
+            statuses = await send_at_rate(cluster, COLD_SECONDS)
             assert 0 < max_per_second_while_cold(backend) <= MAX_STARTS_PER_SECOND
             assert set(statuses) <= {200, 503} and statuses.count(200) >= 8
-            assert set(await press(cluster, 0.3)) == {200}
+            assert set(await send_at_rate(cluster, 0.3)) == {200}
 
     run(scenario)
 
@@ -68,7 +68,7 @@
             turn_cold(cluster.backends["a"])
             await cluster.beat("a", 2)
             cluster.backends["a"].arrivals.clear()
-            await press(cluster, COLD_SECONDS)
+            await send_at_rate(cluster, COLD_SECONDS)
             assert max_per_second_while_cold(cluster.backends["a"]) <= MAX_STARTS_PER_SECOND
 
     run(scenario)
@@ -82,7 +82,7 @@
             cluster.backends["a"].arrivals.clear()
             await cluster.start("a")
             await cluster.ready()
-            await press(cluster, COLD_SECONDS / 2, daemon_name="b")
+            await send_at_rate(cluster, COLD_SECONDS / 2, daemon_name="b")
             assert max_per_second_while_cold(cluster.backends["a"]) <= MAX_STARTS_PER_SECOND
 
     run(scenario)
@@ -97,7 +97,7 @@
             await cluster.beat("a", 1)
             for backend in cluster.backends.values():
                 backend.arrivals.clear()
-            statuses = await press(cluster, COLD_SECONDS / 2)
+            statuses = await send_at_rate(cluster, COLD_SECONDS / 2)
             assert set(statuses) == {200}
             assert max_per_second_while_cold(cluster.backends["a"]) <= MAX_STARTS_PER_SECOND
 
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -22,7 +22,7 @@
 from standins.cluster import eventually
 from test.helper import run
 from test.routed_fleet import configuration, fleet
-from test.test_cold_servers import SETTINGS, press
+from test.test_cold_servers import SETTINGS, send_at_rate
 
 STORED = KINDS[ZONE_DRAIN_KIND]
 BOUND = 5.0  # seconds from the store's acknowledgement; the users' word
@@ -239,7 +239,7 @@
             backend.arrivals.clear()
             restore(one, "one")
             await in_force(one)
-            await press(one, 0.5)
+            await send_at_rate(one, 0.5)
             # Some answers come later than that, so the bound is held against any half second.
             times = backend.arrivals
             most = max(sum(at <= other < at + 0.5 for other in times) for at in times)
