--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -22,7 +22,7 @@
 from standins.cluster import eventually
 from test.helper import run
 from test.routed_fleet import configuration, fleet
-from test.test_cold_servers import SETTINGS, press
+from test.test_cold_servers import SETTINGS, send_at_rate
 
 STORED_KIND = KINDS[ZONE_DRAIN_KIND]
 IN_FORCE_SECONDS = 5.0  # from the store's response; required by the users' platform
@@ -241,7 +241,7 @@
             backend.arrivals.clear()
             restore_zone(cluster, "one")
             await wait_until_in_force(cluster)
-            await press(cluster, 0.5)
+            await send_at_rate(cluster, 0.5)
             # Some requests arrive later, so the limit is checked for every interval of 0.5 s.
             times = backend.arrivals
             max_arrivals = max(sum(at <= other < at + 0.5 for other in times) for at in times)
