--- a/test/helper.py
+++ b/test/helper.py
@@ -1,8 +1,8 @@
-"""The shared helper of the tests: daemons inside the test's process, and small makers.
+"""Shared test code: daemons inside the test process, and factories for their data.
 
-Daemons, backend servers and the platform's stand-in run as tasks of one loop, on ports that
-the system picks; every wait is for a condition. `Installation` has wheatslip's own platform,
-`test/routed_fleet.py` the one of the adapter.
+Daemons, backend servers and the platform stand-in run as tasks of one event loop, on ports that
+the system picks. Tests wait for conditions, not for fixed times. `Installation` uses
+wheatslip's own platform interface; `test/routed_fleet.py` uses the adapter's store.
 """
 
 import asyncio
@@ -51,34 +51,36 @@
 
 
 def bundle(text: str = BUNDLE, version: int = 1) -> Bundle:
-    """A bundle from INI."""
+    """Parse a bundle from INI text."""
     return parse_bundle(text.replace("version = 1", f"version = {version}"), "test").unwrap()
 
 
 def run(scenario: Callable[[], Awaitable[None]], seconds: float = 60.0) -> None:
-    """Run an async test; the bound only stops one that hangs."""
+    """Run an async test; the timeout only stops a test that hangs."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(seconds):
             await scenario()
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
 
 
 @dataclass(slots=True)
 class ShiftedClock:
-    """Unix time that a test moves; daemons start in its past, so that keys made now are
-    surely younger than their records.
+    """Unix time plus an offset that a test can change.
+
+    Daemons start while the clock is in the past, so that keys made now are newer than their
+    records: a daemon does not run a request whose key is older.
     """
 
-    shift: float = -100.0
+    offset_seconds: float = -100.0
 
     def __call__(self) -> float:
-        return time.time() + self.shift
+        return time.time() + self.offset_seconds
 
 
 def ports_of(daemon: Daemon) -> dict[str, int]:
-    """The ports of a daemon that listens, as an `Instance` names them."""
+    """The ports of a listening daemon, by their field names in `Instance`."""
     return {
         "entry_port": daemon.entry_server.port,
         "peer_port": daemon.peer_server.port,
@@ -87,39 +89,41 @@
 
 
 @dataclass(kw_only=True)
-class InProcess:
-    """Daemons by name, each a task of this loop."""
+class InProcessDaemons:
+    """Daemons by name, each running as a task of the current event loop."""
 
     daemons: dict[str, Daemon] = field(default_factory=dict)
     tasks: dict[str, asyncio.Task[int]] = field(default_factory=dict)
 
-    async def start_daemon(self, settings: Settings, seed: int = SEED, **parts: Any) -> Daemon:
-        """Start a daemon, in place of one of that name; returns when it listens.
+    async def start_daemon(
+        self, settings: Settings, seed: int = SEED, **options: Any
+    ) -> Daemon:
+        """Start a daemon, replacing one of the same name, and wait until it listens.
 
-        `parts` are passed on to `Daemon`.
+        `options` are passed on to `Daemon`.
         """
-        daemon = self.daemons[settings.name] = Daemon(settings, Random(seed), **parts)
-        await self.prepare(daemon)
+        daemon = self.daemons[settings.name] = Daemon(settings, Random(seed), **options)
+        await self.prepare_daemon(daemon)
         self.tasks[settings.name] = asyncio.create_task(daemon.run())
         await daemon.listening.wait()
         return daemon
 
-    async def prepare(self, daemon: Daemon) -> None:
-        """Called with each daemon before it runs."""
+    async def prepare_daemon(self, daemon: Daemon) -> None:
+        """Hook for subclasses, called with each daemon before it runs."""
 
     async def stop(self, name: str) -> int:
-        """Stop a daemon; returns its exit code."""
+        """Stop a daemon and return its exit code."""
         self.daemons.pop(name).stop()
         return await self.tasks.pop(name)
 
     async def stop_all(self) -> None:
-        """Stop all daemons at once."""
+        """Stop all daemons concurrently."""
         await asyncio.gather(*(self.stop(name) for name in list(self.daemons)))
 
 
 @dataclass(slots=True)
 class Node:
-    """A backend server with its daemon."""
+    """A backend server and its daemon. `listed_version` is the version of its list entry."""
 
     instance: Instance
     backend: BackendStandIn
@@ -129,13 +133,17 @@
 
     @property
     def entry(self) -> int:
-        """The entry's port."""
+        """Port on which the daemon accepts requests of callers."""
         return self.instance.entry_port
 
 
 @dataclass
-class Installation(InProcess):
-    """Use with `async with`; starts the platform's stand-in and the operators' keys."""
+class Installation(InProcessDaemons):
+    """Daemons with their backend servers, on a platform stand-in.
+
+    As an async context manager, it starts the stand-in and creates the operators' keys in
+    `folder`.
+    """
 
     folder: Path
     nodes: dict[str, Node] = field(default_factory=dict)
@@ -170,14 +178,15 @@
         behaviour: Behaviour | None = None,
         pool: str = "papers",
         zone: str = "one",
-        prepare: Callable[[BackendStandIn], object] = lambda backend: None,
+        prepare_backend: Callable[[BackendStandIn], object] = lambda backend: None,
     ) -> Node:
-        """Start a backend server and its daemon, and list them. `prepare` gets the server
-        before it listens.
+        """Start a backend server and its daemon, and list the instance.
+
+        `prepare_backend` is called with the server before it listens.
         """
         behaviour = behaviour or Behaviour(slots=4, service=0.001)
         backend = BackendStandIn(name, behaviour, Random(SEED))
-        prepare(backend)
+        prepare_backend(backend)
         await backend.server.listen(HOST, 0)
         settings = parse_settings(
             f"[daemon]\nname = {name}\nzone = {zone}\npool = {pool}\n"
@@ -196,57 +205,57 @@
         return node
 
     async def start_again(self, name: str) -> Node:
-        """Start a daemon that was stopped anew, at other ports, and list it as a new start once
-        it listens.
+        """Start a stopped daemon again, on other ports, and list its new incarnation once it
+        has read the list.
         """
-        before = self.nodes[name]
-        daemon = await self.start_daemon(before.daemon.settings, unix=self.clock)
-        incarnation = before.instance.incarnation + 1
+        stopped = self.nodes[name]
+        daemon = await self.start_daemon(stopped.daemon.settings, unix=self.clock)
+        incarnation = stopped.instance.incarnation + 1
         instance = msgspec.structs.replace(
-            before.instance, incarnation=incarnation, **ports_of(daemon)
+            stopped.instance, incarnation=incarnation, **ports_of(daemon)
         )
-        node = Node(instance, before.backend, daemon, self.tasks[name], before.listed_version)
+        node = Node(instance, stopped.backend, daemon, self.tasks[name], stopped.listed_version)
         self.nodes[name] = node
 
-        async def has_read_the_list() -> bool:
+        async def has_read_list() -> bool:
             return bool(daemon.feed.cache.instances)
 
-        await eventually(has_read_the_list)
+        await eventually(has_read_list)
         await self.list_instance(node, InstanceState.LIVE)
         return node
 
     async def list_instance(self, node: Node, state: InstanceState) -> None:
-        """Write an instance into the platform's list."""
+        """Write an instance to the platform's list, in the given state."""
         instance = msgspec.structs.replace(node.instance, state=state)
         name = node.instance.name
         stored = await self.client.put(INSTANCE_KIND, name, instance, node.listed_version)
         node.listed_version = stored.unwrap().version
 
-    async def release(self, new: Bundle) -> None:
-        """Propose, sign twice and roll out a bundle."""
+    async def release(self, proposal: Bundle) -> None:
+        """Propose a bundle, sign it by both operators and roll it out."""
         releases = Releases(self.client, load_keyring(self.folder))
-        (await releases.propose(new)).unwrap()
+        (await releases.propose(proposal)).unwrap()
         for operator in OPERATORS:
             key = load_private_key(self.folder / f"{operator}.key")
-            (await releases.sign(new.version, new.digest(), operator, key)).unwrap()
-        (await releases.roll_out(new.version, new.digest())).unwrap()
+            (await releases.sign(proposal.version, proposal.digest(), operator, key)).unwrap()
+        (await releases.roll_out(proposal.version, proposal.digest())).unwrap()
 
     async def ready(self, version: int = 1) -> None:
         """Wait until every daemon has the version in force and knows every instance."""
         await eventually(self._is_ready(version))
-        self.clock.shift = 0.0
+        self.clock.offset_seconds = 0.0
         for node in self.nodes.values():
-            # The list was checked by the clock of before; it is as fresh as it was.
+            # The recorded time of the last list check is from before the clock changed; without
+            # this, the list would count as outdated.
             node.daemon.feed.cache.checked = time.time()
 
     def caller(self, workspace: str = "alpha", seed: int = SEED) -> Caller:
-        """A caller of a workspace."""
         return Caller(self.session, workspace, f"{workspace}-secret", Random(seed))
 
     def _is_ready(self, version: int) -> Callable[[], Awaitable[bool]]:
         async def check() -> bool:
-            states = [node.daemon.status() for node in self.nodes.values()]
+            statuses = [node.daemon.status() for node in self.nodes.values()]
             count = len(self.nodes)
-            return all(s.version == version and s.members == count for s in states)
+            return all(s.version == version and s.members == count for s in statuses)
 
         return check
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -1,4 +1,7 @@
-"""A fleet of routed daemons inside one process: registering servers and the adapter's store."""
+"""Daemons that route by the routes of a configuration, all inside the test process.
+
+Their backend servers register by heartbeats, and their platform is the adapter's store.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +21,7 @@
 from standins.cluster import HOST, eventually
 from standins.link import NarrowLink
 from standins.plainbackend import PlainBackend
-from test.helper import InProcess
+from test.helper import InProcessDaemons
 
 SETTINGS = """
 [daemon]
@@ -37,7 +40,7 @@
 watch = {watch}
 watch-check = {watch_check}
 list-watch = {watch}
-list-settle = {settle}
+list-settle = {list_settle}
 [backend]
 port = {port}
 {more_backend}
@@ -64,13 +67,13 @@
 
 
 def configuration(version=1, prefix="/view/", more=0):
-    """A configuration of two routes and `more` that nobody asks for."""
+    """A configuration of two routes that tests use and `more` that no request matches."""
 
-    def route(path, kind):
+    def route(path, route_type):
         return {
             "host": "papers.example",
             "path_prefix": path,
-            "route_type": kind,
+            "route_type": route_type,
             "timeout_s": 2.0,
             "target_latency_s": 1.0,
             "priority": 1,
@@ -78,27 +81,29 @@
             "max_attempts": 2,
         }
 
-    others = {f"other-{n}": route(f"/other-{n}/", "safe") for n in range(more)}
+    unused = {f"other-{n}": route(f"/other-{n}/", "safe") for n in range(more)}
     return {
         "version": version,
-        "routes": others
+        "routes": unused
         | {"view": route(prefix, "safe"), "submit": route("/submit/", "unsafe")},
         "services": {"papers": {"health_path": "/health", "max_connections": 50}},
     }
 
 
 @dataclass
-class Fleet(InProcess):
-    """Daemons with their servers, on one store. `link_bytes` bounds what the link of a daemon
-    to the store carries a second; with `has_doors` each daemon without such a link reaches the
-    store through a door of its own. Daemons that `zones` does not name are in zone one. With
-    `has_control_links` daemons reach the control port of each through a link of its own.
+class Fleet(InProcessDaemons):
+    """Daemons with their backend servers, on one store.
+
+    `link_bytes` limits the link of a daemon to the store, in bytes per second by the daemon's
+    name. With `has_doors`, each daemon without such a link reaches the store through its own
+    door. With `has_control_links`, each daemon's control port is reached through its own link.
+    Daemons that are not in `zones` are in zone one.
     """
 
     store: StoreStandIn
     session: aiohttp.ClientSession
     backends: dict[str, PlainBackend] = field(default_factory=dict)
-    settle: str = "0s"
+    list_settle: str = "0s"
     watch: str = "1s"
     watch_check: str = "0s"
     link_bytes: dict[str, float] = field(default_factory=dict)
@@ -108,7 +113,7 @@
     has_control_links: bool = False
     control_links: dict[str, NarrowLink] = field(default_factory=dict)
     zones: dict[str, str] = field(default_factory=dict)
-    more_backend: str = ""  # lines of the daemons' settings
+    more_backend: str = ""  # more lines of the daemons' settings
     more_headers: str = ""
     make_backend: Callable[[str], PlainBackend] = lambda name: PlainBackend(f"i-{name}")
 
@@ -126,7 +131,7 @@
             port=port,
             zone=self.zones.get(name, "one"),
             store=store,
-            settle=self.settle,
+            list_settle=self.list_settle,
             watch=self.watch,
             watch_check=self.watch_check,
             more_backend=self.more_backend,
@@ -136,14 +141,14 @@
         adapters = Adapters(FleetStore(store), decode_heartbeat)
         await self.start_daemon(settings, seed=3, adapters=adapters)
 
-    async def prepare(self, daemon):
-        """Let the daemon list its link's port in place of its own control port."""
+    async def prepare_daemon(self, daemon):
+        """Put a link before the daemon's control port; the daemon lists the link's port."""
         if not self.has_control_links:
             return
-        listen = daemon.feed.relay.listen
+        listen_directly = daemon.feed.relay.listen
 
         async def listen_behind_link(host, port):
-            await listen(host, port)
+            await listen_directly(host, port)
             link = NarrowLink(HOST, daemon.feed.relay.port, inf)
             await link.open()
             self.control_links[daemon.settings.name] = link
@@ -152,7 +157,7 @@
         daemon.feed.relay.listen = listen_behind_link
 
     async def _store_port(self, name):
-        """Where a daemon finds the store: behind its link or its door, if it has one."""
+        """The port of the store for a daemon: that of its link or door, if it has one."""
         if name in self.link_bytes:
             if name not in self.links:
                 link = NarrowLink(HOST, self.store.server.port, self.link_bytes[name])
@@ -183,14 +188,14 @@
             return answer.status
 
     async def ask(self, name, path="/view/1", method="GET", body=b"", **headers):
-        """Status, body and headers of the answer."""
+        """Send a request to a daemon; returns the response's status, body and headers."""
         url = f"http://{HOST}:{self.daemons[name].entry_server.port}{path}"
         headers = {"Host": "papers.example", "Request-Id": "r-1"} | headers
         async with self.session.request(method, url, data=body, headers=headers) as answer:
             return answer.status, await answer.read(), answer.headers
 
     async def ready(self, version=1):
-        def check():
+        def are_ready():
             return all(
                 d.status().version == version
                 and d.status().members == len(self.daemons)
@@ -198,17 +203,16 @@
                 for d in self.daemons.values()
             )
 
-        async def checked():
-            return check()
+        async def check():
+            return are_ready()
 
         try:
-            await eventually(checked)
+            await eventually(check)
         except TimeoutError as error:
-            # What each daemon lacks, so that one failure is enough to trace it.
             raise AssertionError(self.states()) from error
 
     def states(self):
-        """What each daemon knows, for a failure's report."""
+        """The state of each daemon, for the message of a failed test."""
         return {
             name: (
                 self.tasks[name].done(),
@@ -224,24 +228,27 @@
 
 @asynccontextmanager
 async def fleet(*names, configured=True, written=None, **options):
-    """`written` is the configuration to begin with, the usual one if it is not given."""
+    """Run a fleet of these daemons. `written` is the initial configuration, if not the default.
+
+    With `configured=False` the store has no configuration, and the daemons do not get ready.
+    """
     store = StoreStandIn()
     await store.server.listen(HOST, 0)
     if configured:
         store.write("config", "main", written or configuration())
-    one = Fleet(store, aiohttp.ClientSession(), **options)
+    running = Fleet(store, aiohttp.ClientSession(), **options)
     try:
-        await asyncio.gather(*(one.add(name) for name in names))
+        await asyncio.gather(*(running.add(name) for name in names))
         if configured:
-            await one.ready()
-        yield one
+            await running.ready()
+        yield running
     finally:
-        await one.stop_all()
-        for backend in one.backends.values():
+        await running.stop_all()
+        for backend in running.backends.values():
             await backend.server.stop(0.0)
-        for link in (*one.links.values(), *one.control_links.values()):
+        for link in (*running.links.values(), *running.control_links.values()):
             await link.close()
-        for door in one.doors.values():
+        for door in running.doors.values():
             await door.server.stop(0.0)
-        await one.session.close()
+        await running.session.close()
         await store.server.stop(0.0)
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -158,7 +158,7 @@
         async with Installation(tmp_path) as place:
             for name in NAMES:
                 await place.add(
-                    name, prepare=lambda one: endings.append(EndingServer(one, {path}))
+                    name, prepare_backend=lambda one: endings.append(EndingServer(one, {path}))
                 )
             await place.release(bundle())
             await place.ready()
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -254,7 +254,7 @@
 
 def test_daemons_that_start_all_at_once_do_not_all_watch_the_store():
     async def scenario():
-        async with fleet(*"abcdef", settle="1s") as one:
+        async with fleet(*"abcdef", list_settle="1s") as one:
             following = [d for d in one.daemons.values() if not d.feed.is_watcher]
             assert len(following) == 4
             # The list twice, the configuration, the emptied zones and the ends of servers, all
@@ -270,7 +270,7 @@
     """The stale reads show neither the newest configuration nor who has joined since."""
 
     async def scenario():
-        async with fleet(*"abc", settle="1s") as one:
+        async with fleet(*"abc", list_settle="1s") as one:
             watching = [name for name, daemon in one.daemons.items() if daemon.feed.is_watcher]
             (follower,) = {*"abc"} - {*watching}
             one.store.keep_stale()
