--- a/test/test_http.py
+++ b/test/test_http.py
@@ -1,4 +1,6 @@
-"""The HTTP edge: what is malformed is refused, and bytes never pair with a wrong request."""
+"""HTTP server and client: malformed requests are refused, and no response or body is assigned
+to the wrong request.
+"""
 
 import asyncio
 
@@ -19,7 +21,7 @@
     await exchange.respond(ResponseHead(200), exchange.head.target + b" " + body)
 
 
-def with_server(scenario, handler=echo):
+def run_with_server(scenario, handler=echo):
     async def main():
         server = Server(handler)
         await server.listen(HOST, 0)
@@ -52,26 +54,26 @@
     async def scenario(port):
         reader, writer = await asyncio.open_connection(HOST, port)
         writer.write(MALFORMED[name])
-        answer = await reader.read()  # to the end: the server must close
+        answer = await reader.read()  # until the server closes the connection
         assert answer.startswith(b"HTTP/1.1 400")
         assert answer.count(b"HTTP/1.1") == 1
         writer.close()
 
-    with_server(scenario)
+    run_with_server(scenario)
 
 
-def test_a_head_that_is_too_large_is_refused():
+def test_a_too_large_request_head_is_refused():
     async def scenario(port):
         reader, writer = await asyncio.open_connection(HOST, port)
         writer.write(b"GET / HTTP/1.1\r\nA: " + b"a" * 100_000)
         assert (await reader.read()).startswith(b"HTTP/1.1 431")
         writer.close()
 
-    with_server(scenario)
+    run_with_server(scenario)
 
 
 def test_pipelined_requests_are_answered_in_order():
-    async def slow_first(exchange):
+    async def delay_first(exchange):
         if exchange.head.target == b"/0":
             await asyncio.sleep(0.05)
         await echo(exchange)
@@ -86,11 +88,11 @@
         assert positions == sorted(positions)
         writer.close()
 
-    with_server(scenario, slow_first)
+    run_with_server(scenario, delay_first)
 
 
-def test_a_refused_body_is_announced_as_the_end_of_the_connection():
-    async def refuse(exchange):
+def test_a_response_before_the_end_of_the_body_announces_that_the_connection_closes():
+    async def respond_immediately(exchange):
         await exchange.respond(ResponseHead(503))
 
     async def scenario(port):
@@ -100,14 +102,14 @@
         assert b"connection: close" in answer
         writer.close()
 
-    with_server(scenario, refuse)
+    run_with_server(scenario, respond_immediately)
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6), st.integers(0, 2**32))
 @settings(
     max_examples=60, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck)
 )
-def test_garbage_neither_crashes_nor_confuses_the_server(parts, number):
+def test_the_server_answers_new_connections_after_random_bytes(parts, number):
     async def scenario(port):
         data = b"".join(parts)
         _, writer = await asyncio.open_connection(HOST, port)
@@ -122,11 +124,11 @@
         pool.release(connection)
         pool.close()
 
-    with_server(scenario)
+    run_with_server(scenario)
 
 
-async def raw_server(answer):
-    """A server that sends fixed bytes for whatever it reads."""
+async def start_raw_server(answer):
+    """Start a server that sends fixed bytes after each read; returns it and its port."""
 
     async def serve(reader, writer):
         try:
@@ -157,9 +159,9 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok and more",
     ],
 )
-def test_a_connection_with_unasked_bytes_is_never_used_again(answer):
+def test_a_connection_with_bytes_after_the_response_is_not_reused(answer):
     async def main():
-        server, port = await raw_server(answer)
+        server, port = await start_raw_server(answer)
         pool = ConnectionPool(HOST, port, 4)
         body, first = await _fetch(pool)
         assert body == b"ok"
@@ -173,19 +175,19 @@
 
 def test_late_bytes_on_an_idle_connection_close_it():
     async def main():
-        late = asyncio.Event()
+        may_send_late_bytes = asyncio.Event()
 
         async def serve(reader, writer):
             await reader.read(65536)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-            await late.wait()
+            await may_send_late_bytes.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 
         server = await asyncio.start_server(serve, HOST, 0)
         pool = ConnectionPool(HOST, server.sockets[0].getsockname()[1], 4)
         _, first = await _fetch(pool)
         assert first.reusable
-        late.set()
+        may_send_late_bytes.set()
         while not first.closed:
             await asyncio.sleep(0.005)
         assert not first.reusable
@@ -194,9 +196,9 @@
     run(main)
 
 
-def test_an_answer_to_head_ends_the_connection_without_a_body():
+def test_a_response_to_head_has_no_body_and_its_connection_is_not_reused():
     async def main():
-        server, port = await raw_server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
+        server, port = await start_raw_server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
         body, connection = await _fetch(ConnectionPool(HOST, port, 4), b"HEAD")
         assert body == b""
         assert not connection.reusable
@@ -205,7 +207,7 @@
     run(main)
 
 
-def test_a_body_that_is_cut_short_is_not_taken_for_whole():
+def test_a_truncated_body_raises_an_error():
     async def main():
         async def serve(reader, writer):
             await reader.read(65536)
@@ -220,13 +222,13 @@
     run(main)
 
 
-def test_a_large_body_is_not_held_in_memory():
-    total = 20 << 20
+def test_a_large_body_is_streamed_with_bounded_memory():
+    total_bytes = 20 << 20
     buffered_bytes = []
 
     async def stream(exchange):
         exchange.start(ResponseHead(200))
-        for _ in range(total // 65536):
+        for _ in range(total_bytes // 65536):
             await exchange.write(b"x" * 65536)
         await exchange.finish()
 
@@ -239,13 +241,13 @@
             buffered_bytes.append(response.body.buffered_bytes)
             size += len(chunk)
             await asyncio.sleep(0)
-        assert size == total
+        assert size == total_bytes
         assert max(buffered_bytes) < 2 << 20
 
-    with_server(scenario, stream)
+    run_with_server(scenario, stream)
 
 
-def test_connect_and_upgrades_get_one_answer_and_the_end():
+def test_connect_and_upgrade_requests_get_one_response_and_the_connection_is_closed():
     async def scenario(port):
         for request in (
             b"CONNECT a:1 HTTP/1.1\r\nHost: a:1\r\n\r\n",
@@ -258,14 +260,14 @@
             assert answer.count(b"HTTP/1.1") == 1
             writer.close()
 
-    with_server(scenario)
+    run_with_server(scenario)
 
 
 def test_an_answer_before_the_request_is_whole_ends_the_connection():
-    """Its server may take the rest of the body for the next request, or not read it at all."""
+    """The server may read the rest of the body as the next request, or not read it."""
 
     async def scenario():
-        server, port = await raw_server(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+        server, port = await start_raw_server(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         pool = ConnectionPool(HOST, port, 4)
         connection = await pool.acquire(1.0)
         await connection.start(RequestHead(b"POST", b"/"))
@@ -280,15 +282,15 @@
     run(scenario)
 
 
-def test_a_second_answer_to_an_earlier_request_is_passed_over():
+def test_a_second_answer_to_an_earlier_request_is_discarded():
     async def scenario():
-        served = 0
+        request_count = 0
 
         async def serve(reader, writer):
-            nonlocal served
+            nonlocal request_count
             while await reader.readuntil(b"\r\n\r\n"):
-                served += 1
-                for number in range(max(1, served - 1), served + 1):
+                request_count += 1
+                for number in range(max(1, request_count - 1), request_count + 1):
                     body = b"answer %d" % number
                     writer.write(
                         b"HTTP/1.1 200 OK\r\nRequest-Id: %d\r\nContent-Length: %d\r\n\r\n%s"
@@ -311,7 +313,7 @@
     run(scenario)
 
 
-def test_a_body_is_waited_for_without_being_read():
+def test_buffering_a_body_waits_for_it_without_consuming_it():
     async def scenario():
         body = Body(lambda: None, lambda: None)
         waiting = asyncio.create_task(body.buffer_up_to(8))
@@ -322,24 +324,23 @@
         body.finish()
         await waiting
         assert await body.read_up_to(8) == b"abc"
-        longer = Body(lambda: None, lambda: None)
-        longer.feed(b"0123456789")
-        await longer.buffer_up_to(8)
-        broken = Body(lambda: None, lambda: None)
-        broken.mark_truncated()
+        long_body = Body(lambda: None, lambda: None)
+        long_body.feed(b"0123456789")
+        await long_body.buffer_up_to(8)
+        truncated_body = Body(lambda: None, lambda: None)
+        truncated_body.mark_truncated()
         with pytest.raises(BodyTruncated):
-            await broken.buffer_up_to(8)
+            await truncated_body.buffer_up_to(8)
 
     run(scenario)
 
 
-def test_a_body_that_is_not_read_does_not_stop_its_connection():
-    """A whole body above the mark stops the reading of its socket; when the answer went out
-    without the body being read, nothing started it again, and the next request on the
-    connection was never answered.
+def test_the_next_request_is_answered_after_one_whose_body_was_not_read():
+    """A body above the high-water mark pauses reading from its socket, which must resume when
+    the response is sent without the body having been read.
     """
 
-    async def answer_unread(exchange):
+    async def respond_without_reading(exchange):
         await exchange.body.buffer_up_to(1 << 20)
         await exchange.respond(ResponseHead(200), exchange.head.target)
 
@@ -353,4 +354,4 @@
             assert (await reader.readuntil(b"/two")).startswith(b"HTTP/1.1 200")
         writer.close()
 
-    with_server(scenario, answer_unread)
+    run_with_server(scenario, respond_without_reading)
