--- a/test/test_leaving_callers.py
+++ b/test/test_leaving_callers.py
@@ -1,5 +1,7 @@
-"""Callers that close their connection: at whatever moment, half a second later nothing more of
-their requests reaches a backend server, and what ran there is broken off.
+"""Callers that close their connection while their request is in progress.
+
+Within half a second, at whichever stage the request is, its runs on backend servers are
+cancelled and no further try is sent to one.
 """
 
 import asyncio
@@ -11,119 +13,128 @@
 from test.helper import run
 from test.routed_fleet import fleet
 
-GONE_SECONDS = 0.5  # within which a caller's leaving is felt everywhere; the users' bound
-VIEW = b"GET /view/1 HTTP/1.1\r\nHost: papers.example\r\nRequest-Id: %s\r\n\r\n"
-HALF_A_BODY = (
+CANCEL_SECONDS = 0.5  # limit set by users, from the caller's leaving to the cancellation
+VIEW_REQUEST = b"GET /view/1 HTTP/1.1\r\nHost: papers.example\r\nRequest-Id: %s\r\n\r\n"
+INCOMPLETE_REQUEST = (
     b"POST /submit/1 HTTP/1.1\r\nHost: papers.example\r\nRequest-Id: %s\r\n"
     b"Content-Length: 10\r\n\r\nhalf"
 )
-SLOTS = 4  # of a backend server; see `Fleet.beat`
+SLOTS = 4  # of a backend server, as in its heartbeats
 
 
-async def send(one, name, request, request_id):
-    port = one.daemons[name].entry_server.port
+async def start_request(installation, name, request, request_id):
+    port = installation.daemons[name].entry_server.port
     _, writer = await asyncio.open_connection(HOST, port)
     writer.write(request % request_id)
     return writer
 
 
-def count(one, what):
-    return sum(getattr(daemon.status(), what) for daemon in one.daemons.values())
+def total_of(installation, field_name):
+    return sum(getattr(daemon.status(), field_name) for daemon in installation.daemons.values())
 
 
-async def reaches(one, what, number):
-    async def reached():
-        return count(one, what) == number
+async def wait_for_total(installation, field_name, number):
+    async def is_reached():
+        return total_of(installation, field_name) == number
 
     async with asyncio.timeout(5.0):
-        await eventually(reached)
+        await eventually(is_reached)
 
 
-async def is_left_alone(one, before):
-    """Nothing arrives at the backend servers from now on."""
-    await asyncio.sleep(GONE_SECONDS)
-    assert sum(len(backend.received) for backend in one.backends.values()) == before
+async def assert_nothing_arrives(installation, received_before):
+    """Assert that no further request arrives at the backend servers."""
+    await asyncio.sleep(CANCEL_SECONDS)
+    assert (
+        sum(len(backend.received) for backend in installation.backends.values())
+        == received_before
+    )
 
 
 @pytest.mark.parametrize("names", ["a", "ab"])
-def test_one_that_leaves_while_its_request_runs(names):
-    """Also with the entry in one daemon and the backend server beside another."""
+def test_a_running_request_is_cancelled_when_its_caller_leaves(names):
+    """With two daemons, the entry and the backend server can belong to different ones."""
 
     async def scenario():
-        async with fleet(*names) as one:
-            for backend in one.backends.values():
+        async with fleet(*names) as installation:
+            for backend in installation.backends.values():
                 backend.trouble = Trouble.HANG
-            writers = [await send(one, "a", VIEW, b"r-%d" % n) for n in range(SLOTS)]
-            await reaches(one, "in_flight", SLOTS)
+            writers = [
+                await start_request(installation, "a", VIEW_REQUEST, b"r-%d" % n)
+                for n in range(SLOTS)
+            ]
+            await wait_for_total(installation, "in_flight", SLOTS)
             for writer in writers:
                 writer.transport.abort()
-            async with asyncio.timeout(GONE_SECONDS):
-                await reaches(one, "in_flight", 0)
-            for backend in one.backends.values():
+            async with asyncio.timeout(CANCEL_SECONDS):
+                await wait_for_total(installation, "in_flight", 0)
+            for backend in installation.backends.values():
                 assert backend.server.open_connections == 0
 
     run(scenario)
 
 
-def test_one_that_leaves_while_its_request_waits_at_a_gate():
+def test_a_request_queued_at_a_gate_is_cancelled_when_its_caller_leaves():
     async def scenario():
-        async with fleet("a") as one:
-            await one.beat("a", 1)
-            backend = one.backends["a"]
+        async with fleet("a") as installation:
+            await installation.beat("a", 1)
+            backend = installation.backends["a"]
             backend.trouble = Trouble.HANG
-            running = [await send(one, "a", VIEW, b"r-%d" % n) for n in range(SLOTS)]
-            await reaches(one, "in_flight", SLOTS)
-            waiting = await send(one, "a", VIEW, b"waits")
-            await reaches(one, "queued", 1)
+            running = [
+                await start_request(installation, "a", VIEW_REQUEST, b"r-%d" % n)
+                for n in range(SLOTS)
+            ]
+            await wait_for_total(installation, "in_flight", SLOTS)
+            waiting = await start_request(installation, "a", VIEW_REQUEST, b"waits")
+            await wait_for_total(installation, "queued", 1)
             waiting.transport.abort()
-            async with asyncio.timeout(GONE_SECONDS):
-                await reaches(one, "queued", 0)
+            async with asyncio.timeout(CANCEL_SECONDS):
+                await wait_for_total(installation, "queued", 0)
             for writer in running:
                 writer.transport.abort()
-            await is_left_alone(one, SLOTS)
+            await assert_nothing_arrives(installation, SLOTS)
             assert "waits" not in backend.ran
 
     run(scenario)
 
 
-def test_one_that_leaves_while_its_body_is_on_its_way():
+def test_a_request_with_an_incomplete_body_is_not_sent_on_when_its_caller_leaves():
     async def scenario():
-        async with fleet("a", "b") as one:
-            writer = await send(one, "a", HALF_A_BODY, b"half")
+        async with fleet("a", "b") as installation:
+            writer = await start_request(installation, "a", INCOMPLETE_REQUEST, b"half")
             await asyncio.sleep(0.05)
             writer.transport.abort()
-            await is_left_alone(one, 0)
-            assert count(one, "in_flight") == 0
+            await assert_nothing_arrives(installation, 0)
+            assert total_of(installation, "in_flight") == 0
 
     run(scenario)
 
 
-def test_one_that_leaves_between_two_tries():
+def test_a_request_is_not_tried_again_when_its_caller_leaves():
     async def scenario():
-        async with fleet("a", "b") as one:
-            for backend in one.backends.values():
+        async with fleet("a", "b") as installation:
+            for backend in installation.backends.values():
                 backend.trouble = Trouble.RESET
                 backend.service = 0.1  # the first try ends after the caller has left
-            writer = await send(one, "a", VIEW, b"r-1")
-            await reaches(one, "in_flight", 1)
+            writer = await start_request(installation, "a", VIEW_REQUEST, b"r-1")
+            await wait_for_total(installation, "in_flight", 1)
             writer.transport.abort()
-            await is_left_alone(one, 1)
+            await assert_nothing_arrives(installation, 1)
 
     run(scenario)
 
 
-def test_one_that_leaves_before_its_request_was_read():
-    """It sends behind a request that still runs, on the same connection."""
+def test_a_pipelined_request_is_not_run_when_its_caller_leaves():
+    """It waits on its connection behind a request that is still running."""
 
     async def scenario():
-        async with fleet("a") as one:
-            backend = one.backends["a"]
+        async with fleet("a") as installation:
+            backend = installation.backends["a"]
             backend.service = 0.2
-            writer = await send(one, "a", VIEW, b"first")
-            writer.write(VIEW % b"second")
-            await reaches(one, "in_flight", 1)
+            writer = await start_request(installation, "a", VIEW_REQUEST, b"first")
+            writer.write(VIEW_REQUEST % b"second")
+            await wait_for_total(installation, "in_flight", 1)
             writer.transport.abort()
-            await is_left_alone(one, 1)
+            await assert_nothing_arrives(installation, 1)
             assert backend.ran == ["first"]
 
     run(scenario)
--- a/test/test_many_callers.py
+++ b/test/test_many_callers.py
@@ -1,4 +1,4 @@
-"""Hundreds of callers at a daemon that has just said that it is ready."""
+"""Hundreds of concurrent callers at a daemon that has just become ready."""
 
 import asyncio
 
@@ -8,14 +8,14 @@
 from test.helper import run
 from test.routed_fleet import fleet
 
-CALLERS = 300
-ANSWERS = {b"200", b"503"}
+CALLER_COUNT = 300
+ALLOWED_STATUSES = {b"200", b"503"}
 REQUEST = b"GET /view/1 HTTP/1.1\r\nHost: papers.example\r\nConnection: close\r\n\r\n"
-CONTACT_SECONDS = 4.0  # in which one that is ready takes a new connection; the users' bound
+CONNECT_SECONDS = 4.0  # limit set by users for new connections to a ready daemon
 
 
-async def call_once(port):
-    """The first line of the answer on a new connection."""
+async def read_status_line(port):
+    """Send a request on a new connection and return the status line of the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(REQUEST)
     line = await reader.readline()
@@ -23,39 +23,39 @@
     return line
 
 
-async def statuses_of_all(port):
-    """What so many callers at once are told, each on a new connection."""
-    async with asyncio.timeout(CONTACT_SECONDS):
-        lines = await asyncio.gather(*(call_once(port) for _ in range(CALLERS)))
+async def collect_statuses(port):
+    """Return the set of statuses that concurrent callers get, each on a new connection."""
+    async with asyncio.timeout(CONNECT_SECONDS):
+        lines = await asyncio.gather(*(read_status_line(port) for _ in range(CALLER_COUNT)))
     return {line.split()[1] for line in lines}
 
 
-def test_a_daemon_that_is_ready_takes_new_connections_while_hundreds_try():
-    """After a new start, with the callers of before all back at once: each is answered.
+def test_a_ready_daemon_answers_hundreds_of_new_connections():
+    """After a restart, all earlier callers connect again at the same time. Each is answered.
 
-    A daemon is ready, as it can send requests to others, before it knows whether its own server
-    is well; once it knows, requests are served.
+    The daemon is ready before it knows whether its own server is healthy, since it can forward
+    requests to other daemons. Once it knows, it serves requests.
     """
 
     async def scenario():
-        async with fleet("a") as one:
-            await one.beat("a", 1)
-            await one.stop("a")
-            await one.start("a")
-            daemon = one.daemons["a"]
+        async with fleet("a") as installation:
+            await installation.beat("a", 1)
+            await installation.stop("a")
+            await installation.start("a")
+            daemon = installation.daemons["a"]
 
             async def is_ready():
                 return daemon.status().ready
 
-            async def knows_its_server():
+            async def has_identified_server():
                 return not daemon.server_side.gate.is_closed_by(ClosedBy.SERVER_UNKNOWN)
 
             await eventually(is_ready)
             port = daemon.entry_server.port
-            assert await statuses_of_all(port) <= ANSWERS
-            async with asyncio.timeout(CONTACT_SECONDS):
-                await eventually(knows_its_server)
-            statuses = await statuses_of_all(port)
-            assert statuses <= ANSWERS and b"200" in statuses
+            assert await collect_statuses(port) <= ALLOWED_STATUSES
+            async with asyncio.timeout(CONNECT_SECONDS):
+                await eventually(has_identified_server)
+            statuses = await collect_statuses(port)
+            assert statuses <= ALLOWED_STATUSES and b"200" in statuses
 
     run(scenario)
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -1,4 +1,4 @@
-"""When a backend server counts as ended: not when it resets or refuses some connections."""
+"""Detection of the end of a backend server, as opposed to reset or refused connections."""
 
 import asyncio
 
@@ -17,21 +17,23 @@
 from test.routed_fleet import fleet
 
 
-class Place:
-    """The server ends of one gate whose server's address refuses connections, or not."""
+class DetectorSetup:
+    """The end detector of one gate, for a server at a port that may refuse connections."""
 
     def __init__(self, port):
         loop = asyncio.get_running_loop()
         gate = Gate(Admission(AdmissionSettings()), View(), loop.time, is_probed=True)
         backend = Backend(HOST, port, 10, 0.25)
         self.bus = Bus()
-        self.ends = ServerEndDetector(backend, gate, self.bus, Metrics("a", "one"), loop.time)
+        self.detector = ServerEndDetector(
+            backend, gate, self.bus, Metrics("a", "one"), loop.time
+        )
         self.gate = gate
 
-    def begin(self, name):
-        one = Run(name, "papers", "view")
-        self.ends.exposure.begin(one)
-        return one
+    def begin_run(self, fingerprint):
+        new_run = Run(fingerprint, "papers", "view")
+        self.detector.exposure.begin(new_run)
+        return new_run
 
 
 async def closed_port():
@@ -42,52 +44,54 @@
     return port
 
 
-def test_a_server_that_listens_no_more_and_lost_all_its_requests_has_ended():
+def test_a_server_that_does_not_listen_and_lost_all_its_requests_has_ended():
     async def scenario():
-        place = Place(await closed_port())
-        one = place.begin("f")
-        place.ends.exposure.broken(one, asyncio.get_running_loop().time())
-        assert await place.ends.has_server_ended()
-        assert place.gate.admission.closures.active
-        assert len(place.bus) == 1
+        setup = DetectorSetup(await closed_port())
+        broken_run = setup.begin_run("f")
+        setup.detector.exposure.broken(broken_run, asyncio.get_running_loop().time())
+        assert await setup.detector.has_server_ended()
+        assert setup.gate.admission.closures.active
+        assert len(setup.bus) == 1
 
     run(scenario)
 
 
-def test_a_server_that_refuses_connections_while_it_works_has_not_ended():
+def test_a_server_that_refuses_connections_while_a_request_runs_has_not_ended():
     async def scenario():
-        place = Place(await closed_port())
-        broken, running = place.begin("f"), place.begin("g")
+        setup = DetectorSetup(await closed_port())
+        broken_run, other_run = setup.begin_run("f"), setup.begin_run("g")
         now = asyncio.get_running_loop().time()
-        place.ends.exposure.broken(broken, now)
-        assert not await place.ends.has_server_ended()
-        assert not place.gate.admission.closures.active and len(place.bus) == 0
-        # The last one breaks too: now it has ended, and both ran there.
-        place.ends.exposure.broken(running, now)
-        assert await place.ends.has_server_ended() and len(place.bus) == 1
+        setup.detector.exposure.broken(broken_run, now)
+        assert not await setup.detector.has_server_ended()
+        assert not setup.gate.admission.closures.active and len(setup.bus) == 0
+        # The last connection breaks too: the server has ended while both requests ran.
+        setup.detector.exposure.broken(other_run, now)
+        assert await setup.detector.has_server_ended() and len(setup.bus) == 1
 
     run(scenario)
 
 
-def test_a_server_that_resets_connections_and_listens_has_not_ended():
+def test_a_server_that_resets_connections_but_listens_has_not_ended():
     async def scenario():
         backend = PlainBackend("i-a", trouble=Trouble.RESET)
-        async with fleet("a", make_backend=lambda name: backend) as one:
+        async with fleet("a", make_backend=lambda name: backend) as installation:
             for _ in range(6):
-                assert (await one.ask("a"))[2]["wheatslip-outcome"] != "not-run; ends-servers"
-            status = one.daemons["a"].status()
+                assert (await installation.ask("a"))[2][
+                    "wheatslip-outcome"
+                ] != "not-run; ends-servers"
+            status = installation.daemons["a"].status()
             assert status.suspects == 0 and status.held_requests == ()
 
     run(scenario)
 
 
-def test_an_end_that_was_announced_is_held_against_nobody():
+def test_an_announced_end_makes_no_request_a_suspect():
     async def scenario():
-        place = Place(await closed_port())
-        place.gate.on_server_leaving()
-        one = place.begin("f")
-        place.ends.exposure.broken(one, asyncio.get_running_loop().time())
-        assert await place.ends.has_server_ended()
-        assert len(place.bus) == 0
+        setup = DetectorSetup(await closed_port())
+        setup.gate.on_server_leaving()
+        broken_run = setup.begin_run("f")
+        setup.detector.exposure.broken(broken_run, asyncio.get_running_loop().time())
+        assert await setup.detector.has_server_ended()
+        assert len(setup.bus) == 0
 
     run(scenario)
