--- a/test/test_http.py
+++ b/test/test_http.py
@@ -21,7 +21,7 @@
     await exchange.respond(ResponseHead(200), exchange.head.target + b" " + body)
 
 
-def run_with_server(scenario, handler=echo):
+def with_server(scenario, handler=echo):
     async def main():
         server = Server(handler)
         await server.listen(HOST, 0)
@@ -59,7 +59,7 @@
         assert answer.count(b"HTTP/1.1") == 1
         writer.close()
 
-    run_with_server(scenario)
+    with_server(scenario)
 
 
 def test_a_too_large_request_head_is_refused():
@@ -69,7 +69,7 @@
         assert (await reader.read()).startswith(b"HTTP/1.1 431")
         writer.close()
 
-    run_with_server(scenario)
+    with_server(scenario)
 
 
 def test_pipelined_requests_are_answered_in_order():
@@ -88,7 +88,7 @@
         assert positions == sorted(positions)
         writer.close()
 
-    run_with_server(scenario, delay_first)
+    with_server(scenario, delay_first)
 
 
 def test_a_response_before_the_end_of_the_body_announces_that_the_connection_closes():
@@ -102,14 +102,14 @@
         assert b"connection: close" in answer
         writer.close()
 
-    run_with_server(scenario, respond_immediately)
+    with_server(scenario, respond_immediately)
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6), st.integers(0, 2**32))
 @settings(
     max_examples=60, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck)
 )
-def test_the_server_answers_new_connections_after_random_bytes(parts, number):
+def test_garbage_neither_crashes_nor_confuses_the_server(parts, number):
     async def scenario(port):
         data = b"".join(parts)
         _, writer = await asyncio.open_connection(HOST, port)
@@ -124,7 +124,7 @@
         pool.release(connection)
         pool.close()
 
-    run_with_server(scenario)
+    with_server(scenario)
 
 
 async def start_raw_server(answer):
@@ -244,7 +244,7 @@
         assert size == total_bytes
         assert max(buffered_bytes) < 2 << 20
 
-    run_with_server(scenario, stream)
+    with_server(scenario, stream)
 
 
 def test_connect_and_upgrade_requests_get_one_response_and_the_connection_is_closed():
@@ -260,7 +260,7 @@
             assert answer.count(b"HTTP/1.1") == 1
             writer.close()
 
-    run_with_server(scenario)
+    with_server(scenario)
 
 
 def test_an_answer_before_the_request_is_whole_ends_the_connection():
@@ -354,4 +354,4 @@
             assert (await reader.readuntil(b"/two")).startswith(b"HTTP/1.1 200")
         writer.close()
 
-    run_with_server(scenario, respond_without_reading)
+    with_server(scenario, respond_without_reading)
