--- a/test/test_lift_page.py
+++ b/test/test_lift_page.py
@@ -1,4 +1,4 @@
-"""The operators' page that lifts what is held against a request."""
+"""The operators' page that lifts the hold on a request."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
 from test.helper import run
 
 
-def test_a_lift_goes_by_post_and_says_whether_the_request_was_held():
+def test_a_lift_needs_a_post_and_answers_whether_the_request_was_held():
     async def scenario():
-        lifted = []
+        fingerprints = []
 
         def lift(fingerprint):
-            lifted.append(fingerprint)
+            fingerprints.append(fingerprint)
             return fingerprint == "held"
 
         loop = asyncio.get_running_loop()
@@ -24,13 +24,17 @@
         try:
             async with aiohttp.ClientSession() as session:
                 url = f"http://{HOST}:{port}/lift?fingerprint="
-                answers = []
-                for method, name in (("GET", "held"), ("POST", "held"), ("POST", "other")):
-                    async with session.request(method, url + name) as answer:
-                        answers.append(answer.status)
+                statuses = []
+                for method, fingerprint in (
+                    ("GET", "held"),
+                    ("POST", "held"),
+                    ("POST", "other"),
+                ):
+                    async with session.request(method, url + fingerprint) as answer:
+                        statuses.append(answer.status)
         finally:
             await pages.stop()
-        assert answers == [405, 200, 404]
-        assert lifted == ["held", "other"]
+        assert statuses == [405, 200, 404]
+        assert fingerprints == ["held", "other"]
 
     run(scenario)
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -1,16 +1,5 @@
-"""A request that ends each server that runs it is kept from the servers; others are served.
-
-What happened: one GET came again and again, at any daemon. Each server that began to run it
-ended a tenth of a second later, and was back after three seconds. Each try was judged by
-itself: the lost answer counted as a lost connection, the request was sent to a second server,
-and the next time it came nothing was known of it. It ended all four servers of its service
-within a second, time after time, 15 ends in 20 seconds, and up to 104 requests a second of
-other callers were refused. The daemons beside the four servers logged within 0.45 s:
-
-    event=backend-lost in_flight=9
-    event=backend-lost in_flight=3
-    event=backend-lost in_flight=4
-    event=backend-lost in_flight=9
+"""A request that ends each server that runs it is held back from all servers of its service,
+and requests of other callers are served.
 """
 
 import asyncio
@@ -28,82 +17,86 @@
 NAMES = "abcd"
 FATAL = "/view/fatal"
 FATAL_POST = "/submit/fatal"
-# Seconds after the third end within which all daemons must know of it, and how many more times
-# the request may reach a server after that: what the platform's operators allow.
-KNOWN_WITHIN = 3.0
-ALLOWED_LATER = 3
-OBSERVED = 2.0  # seconds after that in which the request still comes
-OF_ALPHA = {"authorization": "Bearer alpha-secret", "wheatslip-service": "papers"}
-FATAL_EVERY = 0.1  # seconds
-HOT_EVERY = 0.01
+# Limits set by the platform's operators: time after the third end until all daemons must hold
+# the request, and number of times that it may still reach a server after that.
+HOLD_DELAY_SECONDS = 3.0
+MAX_LATE_RUNS = 3
+OBSERVATION_SECONDS = 2.0  # after that time, while the request is still sent
+ALPHA_HEADERS = {"authorization": "Bearer alpha-secret", "wheatslip-service": "papers"}
+FATAL_INTERVAL_SECONDS = 0.1
+FREQUENT_INTERVAL_SECONDS = 0.01
 SMALL_BODY = b"small"
-LONG_BODY = b"long" * 50_000  # bytes, more than an entry keeps, so that it is streamed
+LONG_BODY = b"long" * 50_000  # larger than the body buffer of an entry, so it is streamed
 
 
 class Callers:
-    """Send the fatal request and others, at one entry after the other, until told to stop."""
+    """Sends the fatal request and others, to the entries in turn, until cancelled."""
 
-    def __init__(self, ask):
-        """`ask(name, path, method, body)` returns the status."""
-        self._ask = ask
+    def __init__(self, send):
+        """`send(name, path, method, body)` sends a request and returns the status."""
+        self._send = send
         self._loop = asyncio.get_running_loop()
-        self.hot = []  # (when it was sent, status) of a GET that comes a hundred times a second
-        self.single = []  # the same of GETs that come once each
+        # Lists of (time of sending, status); the time is that of the event loop.
+        self.frequent = []  # of a GET that is sent a hundred times per second
+        self.unique = []  # of GETs that are sent once each
         self.fatal = []
-        self._begun = Counter()  # requests of each kind
+        self._sent_counts = Counter()  # by the id of the list
         self._tasks = []
 
-    async def send(self, method, path, body):
-        turns = round(FATAL_EVERY / HOT_EVERY)
+    async def send_until_cancelled(self, method, path, body):
+        turns = round(FATAL_INTERVAL_SECONDS / FREQUENT_INTERVAL_SECONDS)
         turn = 0
         while True:
-            self._begin(self.hot, "/view/hot", "GET", b"")
+            self._start(self.frequent, "/view/hot", "GET", b"")
             if turn % turns == 0:
-                self._begin(self.fatal, path, method, body)
-                self._begin(self.single, f"/view/single-{turn}", "GET", b"")
+                self._start(self.fatal, path, method, body)
+                self._start(self.unique, f"/view/single-{turn}", "GET", b"")
             turn += 1
-            await asyncio.sleep(HOT_EVERY)
+            await asyncio.sleep(FREQUENT_INTERVAL_SECONDS)
 
-    async def finish(self):
+    async def wait_for_responses(self):
         await asyncio.gather(*self._tasks)
 
-    def _begin(self, noted, path, method, body):
-        # Each kind by itself goes to one entry after the other.
-        name = NAMES[self._begun[id(noted)] % len(NAMES)]
-        self._begun[id(noted)] += 1
-        self._tasks.append(asyncio.create_task(self._note(noted, name, path, method, body)))
+    def _start(self, results, path, method, body):
+        # The requests of each list are sent to the entries in turn.
+        name = NAMES[self._sent_counts[id(results)] % len(NAMES)]
+        self._sent_counts[id(results)] += 1
+        self._tasks.append(asyncio.create_task(self._record(results, name, path, method, body)))
 
-    async def _note(self, noted, name, path, method, body):
-        sent = self._loop.time()
-        noted.append((sent, await self._ask(name, path, method, body)))
+    async def _record(self, results, name, path, method, body):
+        sent_at = self._loop.time()
+        results.append((sent_at, await self._send(name, path, method, body)))
 
 
-async def judge(ask, endings, daemons, method, path, body):
-    """Send until well after the third end; the request must stay away, and others be served.
-    All daemons know it for one request, whichever it came to.
+async def assert_fatal_request_is_held(send, servers, daemons, method, path, body):
+    """Send requests until some time after the third end. From then on the fatal request must
+    not reach the servers, and others must be served. All daemons must hold exactly one request,
+    although it was sent to each of them.
     """
-    endings = list(endings)
-    callers = Callers(ask)
-    sending = asyncio.create_task(callers.send(method, path, body))
+    servers = list(servers)
+    callers = Callers(send)
+    sending = asyncio.create_task(callers.send_until_cancelled(method, path, body))
     async with asyncio.timeout(20):
-        while sum(len(ending.ends) for ending in endings) < 3:
+        while sum(len(server.ends) for server in servers) < 3:
             await asyncio.sleep(0.01)
-    third = sorted(at for ending in endings for at in ending.ends)[2]
-    await asyncio.sleep(KNOWN_WITHIN + OBSERVED)
+    third_end_at = sorted(at for server in servers for at in server.ends)[2]
+    await asyncio.sleep(HOLD_DELAY_SECONDS + OBSERVATION_SECONDS)
     sending.cancel()
-    await callers.finish()
-    began = sorted(at for ending in endings for at in ending.began)
-    later = [at for at in began if at > third + KNOWN_WITHIN]
-    assert len(later) <= ALLOWED_LATER, f"{len(later)} of {len(began)} came later"
-    since = third + KNOWN_WITHIN
-    for noted in (callers.hot, callers.single):
-        statuses = [status for sent, status in noted if sent > since]
+    await callers.wait_for_responses()
+    run_times = sorted(at for server in servers for at in server.began)
+    late_runs = [at for at in run_times if at > third_end_at + HOLD_DELAY_SECONDS]
+    assert len(late_runs) <= MAX_LATE_RUNS, (
+        f"{len(late_runs)} of {len(run_times)} runs were late"
+    )
+    hold_expected_at = third_end_at + HOLD_DELAY_SECONDS
+    for results in (callers.frequent, callers.unique):
+        statuses = [status for sent_at, status in results if sent_at > hold_expected_at]
         assert statuses and set(statuses) == {200}, statuses
     assert [len(daemon.status().held_requests) for daemon in daemons] == [1] * len(NAMES)
 
 
 def in_chunks(body):
-    """A body without a length."""
+    """A body of unknown length, which is sent with chunked coding."""
 
     async def chunks():
         for begin in range(0, len(body), 10_000):
@@ -120,58 +113,67 @@
 
 
 @pytest.mark.parametrize(("method", "path", "body"), REQUESTS)
-def test_by_routes_it_is_kept_from_the_servers_and_others_are_served(method, path, body):
+def test_by_routes_it_is_kept_from_the_servers_and_other_requests_are_served(
+    method, path, body
+):
     async def scenario():
-        endings = {}
+        servers = {}
 
         def make_backend(name):
             backend = PlainBackend(f"i-{name}", service=0.005)
-            endings[name] = EndingServer(backend, {path})
+            servers[name] = EndingServer(backend, {path})
             return backend
 
-        async with fleet(*NAMES, make_backend=make_backend) as one:
-            for name, ending in endings.items():
-                ending.on_back = partial(back_under_a_new_id, one, name, ending)
+        async with fleet(*NAMES, make_backend=make_backend) as installation:
+            for name, server in servers.items():
+                server.on_back = partial(back_under_a_new_id, installation, name, server)
 
-            async def ask(name, path, method, body):
+            async def send(name, path, method, body):
                 data = in_chunks(body) if body is LONG_BODY else body
-                return (await one.ask(name, path, method, data))[0]
+                return (await installation.ask(name, path, method, data))[0]
 
-            await judge(ask, endings.values(), one.daemons.values(), method, path, body)
+            await assert_fatal_request_is_held(
+                send, servers.values(), installation.daemons.values(), method, path, body
+            )
 
     run(scenario)
 
 
-async def back_under_a_new_id(one, name, ending):
-    """Each start of a server has an id of its own, and registers by a heartbeat."""
-    backend = one.backends[name]
-    backend.server_id = f"i-{name}-{len(ending.ends)}"
-    await one.beat(name, 1)
+async def back_under_a_new_id(installation, name, server):
+    """Register a restarted server by a heartbeat, under a new id as for each of its starts."""
+    backend = installation.backends[name]
+    backend.server_id = f"i-{name}-{len(server.ends)}"
+    await installation.beat(name, 1)
 
 
 @pytest.mark.parametrize(("method", "path", "body"), REQUESTS)
-def test_of_a_workspace_it_is_kept_from_the_servers_and_others_are_served(
+def test_of_a_workspace_it_is_kept_from_the_servers_and_other_requests_are_served(
     tmp_path, method, path, body
 ):
     async def scenario():
-        endings = []
-        async with Installation(tmp_path) as place:
+        servers = []
+        async with Installation(tmp_path) as installation:
             for name in NAMES:
-                await place.add(
-                    name, prepare_backend=lambda one: endings.append(EndingServer(one, {path}))
+                await installation.add(
+                    name,
+                    prepare_backend=lambda backend: servers.append(
+                        EndingServer(backend, {path})
+                    ),
                 )
-            await place.release(bundle())
-            await place.ready()
+            await installation.release(bundle())
+            await installation.ready()
 
-            async def ask(name, path, method, body):
-                url = f"http://{HOST}:{place.nodes[name].entry}{path}"
+            async def send(name, path, method, body):
+                url = f"http://{HOST}:{installation.nodes[name].entry}{path}"
                 data = in_chunks(body) if body is LONG_BODY else body
-                async with place.session.request(
-                    method, url, data=data, headers=OF_ALPHA
+                async with installation.session.request(
+                    method, url, data=data, headers=ALPHA_HEADERS
                 ) as answer:
                     await answer.read()
                     return answer.status
 
-            await judge(ask, endings, place.daemons.values(), method, path, body)
+            await assert_fatal_request_is_held(
+                send, servers, installation.daemons.values(), method, path, body
+            )
 
     run(scenario)
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, logs and traces."""
+"""Settings of the daemon, its log lines and its traces."""
 
 import io
 from random import Random
@@ -11,7 +11,7 @@
 from wheatslipd.telemetry.logs import KeyValueDestination, render
 from wheatslipd.telemetry.tracing import HopTracer
 
-GOOD = """
+VALID_SETTINGS = """
 [daemon]
 name = papers-1
 zone = wien-a
@@ -27,76 +27,81 @@
 """
 
 
-EMPTY_IS_ANOTHER_VALUE = {
+# Keys for which an empty value does not mean the default.
+KEYS_WITHOUT_EMPTY_DEFAULT = {
     ("daemon", "address"),
     ("backend", "address"),
     ("backend", "health-path"),
 }
 
 
-def test_good_settings_are_read_over_the_defaults():
-    settings = parse_settings(GOOD, "d.ini").unwrap()
+def test_valid_settings_override_the_defaults():
+    settings = parse_settings(VALID_SETTINGS, "d.ini").unwrap()
     assert settings.backend_port == 8000
     assert settings.stop_grace == 30.0
     assert settings.peer_tls is None
 
 
-def test_a_key_that_is_left_empty_has_the_default_of_the_commented_file():
-    """But for texts, where empty means none, and for keys that must not be empty."""
-    default = parse_settings(GOOD, "d.ini").unwrap()
-    given = read_ini(GOOD, Problems("d.ini"))
-    skipped = {(section, key) for section, keys in given.items() for key in keys}
-    skipped |= EMPTY_IS_ANOTHER_VALUE
-    held = set()
+def test_a_key_with_an_empty_value_has_the_default_of_the_commented_file():
+    """Except for texts, where empty means none, and for keys that must not be empty."""
+    default = parse_settings(VALID_SETTINGS, "d.ini").unwrap()
+    set_keys = read_ini(VALID_SETTINGS, Problems("d.ini"))
+    skipped = {(section, key) for section, keys in set_keys.items() for key in keys}
+    skipped |= KEYS_WITHOUT_EMPTY_DEFAULT
+    checked = set()
     for section, keys in read_ini(default_text(), Problems("default.ini")).items():
         for key, text in keys.items():
             if not text or (section, key) in skipped:
                 continue
-            title = f"[{section}]"
-            own = GOOD if title in GOOD else GOOD + f"{title}\n"
-            emptied = own.replace(title, f"{title}\n{key} =")
+            section_head = f"[{section}]"
+            text_with_section = (
+                VALID_SETTINGS
+                if section_head in VALID_SETTINGS
+                else VALID_SETTINGS + f"{section_head}\n"
+            )
+            emptied = text_with_section.replace(section_head, f"{section_head}\n{key} =")
             assert parse_settings(emptied, "d.ini").unwrap() == default, (section, key)
-            held.add((section, key))
-    assert len(held) > 30
+            checked.add((section, key))
+    assert len(checked) > 30
 
 
-def test_every_problem_is_named_with_file_section_key_and_what_is_right():
-    bad = (
-        GOOD.replace("port = 8000", "port = high\ncolour = red")
+def test_every_problem_is_reported_with_its_section_and_key():
+    invalid = (
+        VALID_SETTINGS.replace("port = 8000", "port = high\ncolour = red")
         .replace("127.0.0.1:9000", "platform.example:9000")
         .replace("name = papers-1\n", "")
         + "[castle]\nmoat = deep\n"
     )
-    problems = [str(p) for p in parse_settings(bad, "d.ini").unwrap_err()]
+    problems = [str(p) for p in parse_settings(invalid, "d.ini").unwrap_err()]
     assert len(problems) == 5
     for part in ("[backend] port = 'high'", "colour", "[platform] address", "name", "castle"):
         assert any(part in problem for problem in problems), part
 
 
-def test_plain_text_between_daemons_is_for_loopback_only():
-    bad = GOOD.replace("[daemon]", "[daemon]\naddress = 192.0.2.1")
-    (problem,) = parse_settings(bad, "d.ini").unwrap_err()
+def test_plain_text_between_daemons_is_only_allowed_on_loopback():
+    invalid = VALID_SETTINGS.replace("[daemon]", "[daemon]\naddress = 192.0.2.1")
+    (problem,) = parse_settings(invalid, "d.ini").unwrap_err()
     assert problem.key == "plain-text"
 
 
-def test_an_event_is_one_line_whatever_is_in_it():
+def test_an_event_with_line_breaks_and_quotes_is_written_as_one_line():
     event = {"timestamp": 0.0, "message_type": "x", "detail": 'two\nlines "quoted"'}
     line = render(event)
     assert line.startswith("time=1970-01-01T00:00:00.000+00:00 level=info event=x ")
     assert line.endswith('detail="two\\nlines \\"quoted\\""')
 
 
-def test_repeats_are_held_back_and_counted():
+def test_repeated_events_are_suppressed_and_counted():
     stream = io.StringIO()
     destination = KeyValueDestination(stream, LogLevel.INFO)
-    for moment in (100.0, 101.0, 102.0, 111.0):
-        destination({"timestamp": moment, "message_type": "x", "repeat_key": "k"})
+    for timestamp in (100.0, 101.0, 102.0, 111.0):
+        destination({"timestamp": timestamp, "message_type": "x", "repeat_key": "k"})
     lines = stream.getvalue().splitlines()
     assert len(lines) == 2
     assert lines[1].endswith("held_back=2")
 
 
-def test_spans_follow_the_callers_trace_and_nothing_is_made_unsampled():
+def test_spans_continue_the_trace_of_the_caller_and_unsampled_requests_have_none():
     tracer = HopTracer("papers-1", 0.0, "", Random(1))
     exporter = InMemorySpanExporter()
     tracer._provider.add_span_processor(SimpleSpanProcessor(exporter))
@@ -112,5 +117,5 @@
     assert tracer.hop("entry", b"nonsense", may_start_trace=True).span is None
 
 
-def test_no_io_uring_is_opened():
+def test_io_uring_is_not_used():
     assert not uses_io_uring()
--- a/test/test_start.py
+++ b/test/test_start.py
@@ -1,4 +1,4 @@
-"""The first moments of a daemon: who comes before its first reads are answered waits too."""
+"""Requests that arrive at a daemon before its first reads from the store are answered."""
 
 import asyncio
 
@@ -7,36 +7,36 @@
 from test.routed_fleet import fleet
 
 
-def test_who_comes_before_the_first_reads_are_answered_is_served_by_them():
+def test_requests_before_the_first_reads_are_answered_wait_for_them_and_are_served():
     async def scenario():
-        async with fleet("a", "b") as one:
-            await one.stop("a")
-            gate = asyncio.Event()
-            one.store.before_answer = gate.wait
-            await one.start("a")
-            early = [asyncio.create_task(one.ask("a")) for _ in range(5)]
+        async with fleet("a", "b") as installation:
+            await installation.stop("a")
+            may_answer = asyncio.Event()
+            installation.store.before_answer = may_answer.wait
+            await installation.start("a")
+            early_requests = [asyncio.create_task(installation.ask("a")) for _ in range(5)]
             await asyncio.sleep(0.05)
-            assert not any(task.done() for task in early)
-            gate.set()
-            assert {(await task)[0] for task in early} == {200}
+            assert not any(task.done() for task in early_requests)
+            may_answer.set()
+            assert {(await task)[0] for task in early_requests} == {200}
 
     run(scenario)
 
 
-def test_nobody_waits_for_a_store_that_is_away():
+def test_requests_do_not_wait_for_a_store_that_is_unavailable():
     async def scenario():
-        async with fleet("a", "b") as one:
-            await one.stop("a")
-            one.store.fault = Fault.BUSY
-            await one.start("a")
+        async with fleet("a", "b") as installation:
+            await installation.stop("a")
+            installation.store.fault = Fault.BUSY
+            await installation.start("a")
             loop = asyncio.get_running_loop()
-            began = loop.time()
-            assert (await one.ask("a"))[0] == 503
-            assert loop.time() - began < 0.5
+            sent_at = loop.time()
+            assert (await installation.ask("a"))[0] == 503
+            assert loop.time() - sent_at < 0.5
             await asyncio.sleep(0.3)
-            began = loop.time()
-            assert (await one.ask("a"))[0] == 503
-            assert loop.time() - began < 0.15
-            one.store.fault = Fault.NONE
+            sent_at = loop.time()
+            assert (await installation.ask("a"))[0] == 503
+            assert loop.time() - sent_at < 0.15
+            installation.store.fault = Fault.NONE
 
     run(scenario)
