--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -236,19 +236,19 @@
     await store.server.listen(HOST, 0)
     if configured:
         store.write("config", "main", written or configuration())
-    running = Fleet(store, aiohttp.ClientSession(), **options)
+    installation = Fleet(store, aiohttp.ClientSession(), **options)
     try:
-        await asyncio.gather(*(running.add(name) for name in names))
+        await asyncio.gather(*(installation.add(name) for name in names))
         if configured:
-            await running.ready()
-        yield running
+            await installation.ready()
+        yield installation
     finally:
-        await running.stop_all()
-        for backend in running.backends.values():
+        await installation.stop_all()
+        for backend in installation.backends.values():
             await backend.server.stop(0.0)
-        for link in (*running.links.values(), *running.control_links.values()):
+        for link in (*installation.links.values(), *installation.control_links.values()):
             await link.close()
-        for door in running.doors.values():
+        for door in installation.doors.values():
             await door.server.stop(0.0)
-        await running.session.close()
+        await installation.session.close()
         await store.server.stop(0.0)
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -147,11 +147,11 @@
 def test_a_request_is_held_only_while_it_may_still_meet_its_target():
     admission = with_service_time(Admission(AdmissionSettings(slots=1)))
     admission.arrive(make_call(), 0.0)
-    held = make_call(target=0.4, hold_until=0.4)
-    assert abs(admission.timing.latest_start(held, 0.0) - 0.28) < 0.01
-    # On a slow server it is held as long as the server, if fast again, could meet the target.
+    held_call = make_call(target=0.4, hold_until=0.4)
+    assert abs(admission.timing.latest_start(held_call, 0.0) - 0.28) < 0.01
+    # On a slow server, too, it may wait until the latest start for the usual speed.
     admission.timing.slowness = 4.0
-    assert abs(admission.timing.latest_start(held, 0.0) - 0.28) < 0.01
+    assert abs(admission.timing.latest_start(held_call, 0.0) - 0.28) < 0.01
 
 
 def test_service_times_are_kept_by_kind_of_request():
--- a/test/test_leaving_callers.py
+++ b/test/test_leaving_callers.py
@@ -1,7 +1,7 @@
 """Callers that close their connection while their request is in progress.
 
-Within half a second, at whichever stage the request is, its runs on backend servers are
-cancelled and no further try is sent to one.
+Within half a second, whichever stage the request has reached, its runs on backend servers are
+cancelled, and it is not sent to a backend server again.
 """
 
 import asyncio
--- a/test/test_many_descriptors.py
+++ b/test/test_many_descriptors.py
@@ -26,11 +26,11 @@
     resource.setrlimit(
         resource.RLIMIT_NOFILE, (max(previous_limits[0], 2 * SELECT_LIMIT), hard)
     )
-    opened = [os.open(os.devnull, os.O_RDONLY) for _ in range(SELECT_LIMIT)]
+    descriptors = [os.open(os.devnull, os.O_RDONLY) for _ in range(SELECT_LIMIT)]
     try:
         yield
     finally:
-        for descriptor in opened:
+        for descriptor in descriptors:
             os.close(descriptor)
         resource.setrlimit(resource.RLIMIT_NOFILE, previous_limits)
 
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -1,5 +1,5 @@
-"""A request that ends each server that runs it is held back from all servers of its service,
-and requests of other callers are served.
+"""A request that ends each server that runs it must be held back from the other servers, and
+requests of other callers must be served.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 # the request, and number of times that it may still reach a server after that.
 HOLD_DELAY_SECONDS = 3.0
 MAX_LATE_RUNS = 3
-OBSERVATION_SECONDS = 2.0  # after that time, while the request is still sent
+OBSERVATION_SECONDS = 2.0  # after that, while the request is still being sent
 ALPHA_HEADERS = {"authorization": "Bearer alpha-secret", "wheatslip-service": "papers"}
 FATAL_INTERVAL_SECONDS = 0.1
 FREQUENT_INTERVAL_SECONDS = 0.01
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -141,11 +141,11 @@
     async def scenario():
         async with fleet("a", "b") as installation:
             daemon = installation.daemons["a"]
-            (dead,) = (
+            (dead_peer,) = (
                 p for p in daemon.view.membership.peers("papers") if p.instance.name == "b"
             )
             for second in range(DEAD_AFTER_FAILURES):
-                dead.upstream.on_unreachable(float(second), Random(1))
+                dead_peer.upstream.on_unreachable(float(second), Random(1))
             remover = daemon.local_backend.remover
             remover._rank = lambda zone: 0
             remover._clock = lambda: DEAD_AFTER_SECONDS - 1
@@ -153,7 +153,7 @@
             assert (KINDS[INSTANCE_KIND], "b") in installation.store.objects
             remover._clock = lambda: DEAD_AFTER_SECONDS + 1
             remover._version_of = lambda name: 1  # the version from before the restart
-            await remover._remove("b", dead.instance.incarnation + 1)
+            await remover._remove("b", dead_peer.instance.incarnation + 1)
             assert (KINDS[INSTANCE_KIND], "b") in installation.store.objects
             remover._version_of = daemon.feed.cache.version_of
             call_count = len(installation.store.calls)
