--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -67,7 +67,7 @@
 
 
 def configuration(version=1, prefix="/view/", more=0):
-    """A configuration of two routes that tests use and `more` that no request matches."""
+    """A configuration of two usable routes and `more` that no request matches."""
 
     def route(path, route_type):
         return {
@@ -94,7 +94,7 @@
 class Fleet(InProcessDaemons):
     """Daemons with their backend servers, on one store.
 
-    `link_bytes` limits the link of a daemon to the store, in bytes per second by the daemon's
+    `link_bytes` limits the links of daemons to the store, in bytes per second by
     name. With `has_doors`, each daemon without such a link reaches the store through its own
     door. With `has_control_links`, each daemon's control port is reached through its own link.
     Daemons that are not in `zones` are in zone one.
@@ -228,9 +228,10 @@
 
 @asynccontextmanager
 async def fleet(*names, configured=True, written=None, **options):
-    """Run a fleet of these daemons. `written` is the initial configuration, if not the default.
+    """Run daemons of these names.
 
-    With `configured=False` the store has no configuration, and the daemons do not get ready.
+    Without `written`, the store has the default configuration at the start. With
+    `configured=False` it has none, and the daemons do not get ready.
     """
     store = StoreStandIn()
     await store.server.listen(HOST, 0)
