--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -171,7 +171,7 @@
             return self.doors[name].server.port
         return self.store.server.port
 
-    async def beat(self, name, sequence, state="ready", server=None):
+    async def send_heartbeat(self, name, sequence, state="ready", server=None):
         backend = self.backends[name]
         body = {
             "address": f"{HOST}:{backend.server.port}",
--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -51,7 +51,7 @@
             backend = one.backends["a"]
             backend.server_id = "i-next"
             turn_cold(backend)
-            assert await one.beat("a", 1) == 200
+            assert await one.send_heartbeat("a", 1) == 200
             backend.arrivals.clear()
             statuses = await press(one, COLD_SECONDS)
             assert 0 < most_while_cold(backend) <= BOUND
@@ -64,9 +64,9 @@
 def test_a_server_that_turned_cold_on_its_feet_is_heeded_by_its_heartbeat():
     async def scenario():
         async with cold_fleet("a") as one:
-            await one.beat("a", 1)
+            await one.send_heartbeat("a", 1)
             turn_cold(one.backends["a"])
-            await one.beat("a", 2)
+            await one.send_heartbeat("a", 2)
             one.backends["a"].arrivals.clear()
             await press(one, COLD_SECONDS)
             assert most_while_cold(one.backends["a"]) <= BOUND
@@ -94,7 +94,7 @@
             for backend in one.backends.values():
                 backend.service = 0.01
             turn_cold(one.backends["a"])
-            await one.beat("a", 1)
+            await one.send_heartbeat("a", 1)
             for backend in one.backends.values():
                 backend.arrivals.clear()
             statuses = await press(one, COLD_SECONDS / 2)
@@ -126,14 +126,14 @@
 def test_one_who_is_not_the_registered_server_gets_one_request_and_others_the_rest():
     async def scenario():
         async with cold_fleet("a", "b") as one:
-            await one.beat("a", 1)
-            await one.beat("b", 1)
+            await one.send_heartbeat("a", 1)
+            await one.send_heartbeat("b", 1)
             backend = one.backends["a"]
             backend.server_id = "i-next"  # it crashed and came back; no heartbeat yet
             backend.received.clear()
             statuses = [(await one.ask("ab"[n % 2]))[0] for n in range(30)]
             assert set(statuses) == {200} and len(backend.received) <= 1
-            await one.beat("a", 2, server="i-a")  # it is there after all
+            await one.send_heartbeat("a", 2, server="i-a")  # it is there after all
             backend.server_id = "i-a"
             await asyncio.gather(*(one.ask("a") for _ in range(30)))
             assert len(backend.received) > 1
--- a/test/test_leaving_callers.py
+++ b/test/test_leaving_callers.py
@@ -76,7 +76,7 @@
 def test_a_request_queued_at_a_gate_is_cancelled_when_its_caller_leaves():
     async def scenario():
         async with fleet("a") as installation:
-            await installation.beat("a", 1)
+            await installation.send_heartbeat("a", 1)
             backend = installation.backends["a"]
             backend.trouble = Trouble.HANG
             running = [
--- a/test/test_many_callers.py
+++ b/test/test_many_callers.py
@@ -39,7 +39,7 @@
 
     async def scenario():
         async with fleet("a") as installation:
-            await installation.beat("a", 1)
+            await installation.send_heartbeat("a", 1)
             await installation.stop("a")
             await installation.start("a")
             daemon = installation.daemons["a"]
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -143,7 +143,7 @@
     """Register a restarted server by a heartbeat, under a new id as for each of its starts."""
     backend = installation.backends[name]
     backend.server_id = f"i-{name}-{len(server.ends)}"
-    await installation.beat(name, 1)
+    await installation.send_heartbeat(name, 1)
 
 
 @pytest.mark.parametrize(("method", "path", "body"), REQUESTS)
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -108,8 +108,8 @@
 def test_a_draining_server_gets_no_new_requests_and_is_listed_as_leaving():
     async def scenario():
         async with fleet("a", "b") as installation:
-            assert await installation.beat("a", 1) == 200
-            assert await installation.beat("a", 2, "draining") == 200
+            assert await installation.send_heartbeat("a", 1) == 200
+            assert await installation.send_heartbeat("a", 2, "draining") == 200
             run_count = len(installation.backends["a"].ran)
             for _ in range(10):
                 assert (await installation.ask("a"))[1] == b"i-b"
@@ -128,8 +128,8 @@
 def test_the_entry_of_a_daemon_that_leaves_with_its_server_is_removed():
     async def scenario():
         async with fleet("a", "b") as installation:
-            await installation.beat("a", 1)
-            await installation.beat("a", 2, "draining")
+            await installation.send_heartbeat("a", 1)
+            await installation.send_heartbeat("a", 2, "draining")
             await installation.stop("a")
             assert (KINDS[INSTANCE_KIND], "a") not in installation.store.objects
             assert (await installation.ask("b"))[1] == b"i-b"
@@ -200,10 +200,10 @@
 def test_a_new_server_beside_the_daemon_gets_work_under_its_own_id():
     async def scenario():
         async with fleet("a") as installation:
-            await installation.beat("a", 1)
-            await installation.beat("a", 2, "draining")
+            await installation.send_heartbeat("a", 1)
+            await installation.send_heartbeat("a", 2, "draining")
             installation.backends["a"].server_id = "i-new"
-            await installation.beat("a", 1)
+            await installation.send_heartbeat("a", 1)
 
             async def is_served_by_new_server():
                 return (await installation.ask("a"))[1] == b"i-new"
@@ -221,7 +221,7 @@
             await installation.start("a")
             status, _, _ = await installation.ask("a")
             assert status == 503 and installation.backends["a"].ran == []
-            await installation.beat("a", 7)
+            await installation.send_heartbeat("a", 7)
             await installation.ready()
             assert (await installation.ask("a"))[0] == 200
 
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -162,7 +162,7 @@
             await one.ready(2)
             read = one.links[third].carried
             server = one.backends[second].server_id
-            assert await one.beat(second, 1, "draining", server) == 200
+            assert await one.send_heartbeat(second, 1, "draining", server) == 200
             await one.stop(second)
             reader = one.daemons[third]
 
--- a/test/test_store_comes_back_older.py
+++ b/test/test_store_comes_back_older.py
@@ -150,13 +150,13 @@
 def test_an_instance_that_leaves_while_its_leaving_is_lost_is_listed_as_leaving_again():
     async def scenario():
         async with older_fleet() as one:
-            assert await one.beat("a", 1) == 200
+            assert await one.send_heartbeat("a", 1) == 200
             await settled(one)
             copy = one.store.copy()
-            assert await one.beat("a", 2, "draining") == 200
+            assert await one.send_heartbeat("a", 2, "draining") == 200
             await reached(one, is_leaving)
             one.store.restore(copy)
-            assert await one.beat("a", 3, "draining") == 200
+            assert await one.send_heartbeat("a", 3, "draining") == 200
 
             async def listed():
                 entry = one.store.objects["wheatslip-instances", "a"]
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -30,9 +30,9 @@
 def test_an_acknowledged_leave_binds_while_the_store_is_away(fault):
     async def scenario():
         async with fleet("a", "b") as one:
-            await one.beat("a", 1)
+            await one.send_heartbeat("a", 1)
             one.store.fault = fault
-            assert await one.beat("a", 2, "draining") == 200
+            assert await one.send_heartbeat("a", 2, "draining") == 200
             before = len(one.backends["a"].received)
             for number in range(20):
                 asking = "ab"[number % 2]
@@ -277,9 +277,9 @@
 def test_a_leave_acknowledged_without_the_store_is_listed_when_it_is_back():
     async def scenario():
         async with fleet("a", "b") as one:
-            await one.beat("a", 1)
+            await one.send_heartbeat("a", 1)
             one.store.fault = Fault.BUSY
-            await one.beat("a", 2, "draining")
+            await one.send_heartbeat("a", 2, "draining")
             one.store.fault = Fault.NONE
 
             async def listed():
--- a/test/test_turned_away.py
+++ b/test/test_turned_away.py
@@ -65,8 +65,8 @@
 
 async def drain_arrives(one, name):
     """Each daemon knows in time that a server leaves."""
-    assert await one.beat(name, 1) == 200
-    assert await one.beat(name, 2, "draining") == 200
+    assert await one.send_heartbeat(name, 1) == 200
+    assert await one.send_heartbeat(name, 2, "draining") == 200
 
     async def known():
         listed = [d.feed.cache.instances[name] for d in one.daemons.values()]
