--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -187,7 +187,7 @@
         async with self.session.put(url, json=body) as answer:
             return answer.status
 
-    async def ask(self, name, path="/view/1", method="GET", body=b"", **headers):
+    async def send_request(self, name, path="/view/1", method="GET", body=b"", **headers):
         """Send a request to a daemon; returns the response's status, body and headers."""
         url = f"http://{HOST}:{self.daemons[name].entry_server.port}{path}"
         headers = {"Host": "papers.example", "Request-Id": "r-1"} | headers
--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -40,7 +40,7 @@
     end = loop.time() + seconds
     asked = []
     while loop.time() < end:
-        asked.append(asyncio.create_task(one.ask(by)))
+        asked.append(asyncio.create_task(one.send_request(by)))
         await asyncio.sleep(1 / rate)
     return [(await answer)[0] for answer in asked]
 
@@ -131,11 +131,11 @@
             backend = one.backends["a"]
             backend.server_id = "i-next"  # it crashed and came back; no heartbeat yet
             backend.received.clear()
-            statuses = [(await one.ask("ab"[n % 2]))[0] for n in range(30)]
+            statuses = [(await one.send_request("ab"[n % 2]))[0] for n in range(30)]
             assert set(statuses) == {200} and len(backend.received) <= 1
             await one.send_heartbeat("a", 2, server="i-a")  # it is there after all
             backend.server_id = "i-a"
-            await asyncio.gather(*(one.ask("a") for _ in range(30)))
+            await asyncio.gather(*(one.send_request("a") for _ in range(30)))
             assert len(backend.received) > 1
 
     run(scenario)
--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -50,7 +50,7 @@
     """Let the request come until it is held at the daemon that it comes to."""
     endings.bind(one)
     async with asyncio.timeout(20):
-        while (await one.ask("a", FATAL))[2].get("wheatslip-outcome") != HELD_OUTCOME:
+        while (await one.send_request("a", FATAL))[2].get("wheatslip-outcome") != HELD_OUTCOME:
             await asyncio.sleep(0.02)
     assert endings.count >= HOLD_AFTER_ENDS
 
@@ -74,7 +74,7 @@
     """No entry sends it to a server."""
     before = endings.count
     for name in names:
-        assert (await one.ask(name, FATAL))[2]["wheatslip-outcome"] == HELD_OUTCOME
+        assert (await one.send_request(name, FATAL))[2]["wheatslip-outcome"] == HELD_OUTCOME
     assert endings.count == before
 
 
@@ -184,7 +184,7 @@
             async with asyncio.timeout(KNOWN_WITHIN):
                 await eventually(freed)
             await one.ready()
-            assert (await one.ask("d", FATAL))[0] == 200
+            assert (await one.send_request("d", FATAL))[0] == 200
 
     run(scenario)
 
@@ -200,13 +200,13 @@
             for name in one.backends:
                 one.backends[name].service = 0.05
 
-            async def ask(turn):
-                _, _, headers = await one.ask("abcd"[turn % 4], "/view/hot")
+            async def send_request(turn):
+                _, _, headers = await one.send_request("abcd"[turn % 4], "/view/hot")
                 outcomes.append(headers["wheatslip-outcome"])
 
             tasks = []
             for turn in range(600):
-                tasks.append(asyncio.create_task(ask(turn)))
+                tasks.append(asyncio.create_task(send_request(turn)))
                 if turn % 25 == 24:
                     ending = list(endings.values())[turn // 25 % 4]
                     ending.end()
@@ -236,19 +236,19 @@
             for backend in one.backends.values():
                 backend.service = 0.05
 
-            async def ask(path, turn):
+            async def send_request(path, turn):
                 for again in range(5):
                     name = "abcd"[(turn + again) % 4]
-                    status, _, headers = await one.ask(name, path)
+                    status, _, headers = await one.send_request(name, path)
                     outcomes.append((path, headers["wheatslip-outcome"]))
                     if status == 200:
                         return
 
             tasks = []
             for turn in range(150):
-                tasks.append(asyncio.create_task(ask(f"/view/single-{turn}", turn)))
+                tasks.append(asyncio.create_task(send_request(f"/view/single-{turn}", turn)))
                 if turn % 10 == 0:
-                    tasks.append(asyncio.create_task(ask(FATAL, turn)))
+                    tasks.append(asyncio.create_task(send_request(FATAL, turn)))
                 await asyncio.sleep(0.02)
             await asyncio.gather(*tasks)
             held = {path for path, outcome in outcomes if outcome == HELD_OUTCOME}
--- a/test/test_harmful_configurations.py
+++ b/test/test_harmful_configurations.py
@@ -48,7 +48,7 @@
             await asyncio.sleep(0.3)
             assert not one.tasks["a"].done()
             assert one.daemons["a"].status().version == 1
-            assert (await one.ask("a"))[0] == 200
+            assert (await one.send_request("a"))[0] == 200
             one.store.write("config", "main", configuration(3))
             await one.ready(3)
 
@@ -64,10 +64,10 @@
             await one.ready(2)
 
             async def is_served():
-                return (await one.ask("a"))[0] == 200
+                return (await one.send_request("a"))[0] == 200
 
             await eventually(is_served)
-            assert {(await one.ask("a"))[0] for _ in range(30)} == {200, 503}
+            assert {(await one.send_request("a"))[0] for _ in range(30)} == {200, 503}
 
     run(scenario)
 
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -130,7 +130,7 @@
 
             async def send(name, path, method, body):
                 data = in_chunks(body) if body is LONG_BODY else body
-                return (await installation.ask(name, path, method, data))[0]
+                return (await installation.send_request(name, path, method, data))[0]
 
             await assert_fatal_request_is_held(
                 send, servers.values(), installation.daemons.values(), method, path, body
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -21,7 +21,7 @@
 def test_a_forwarded_request_has_the_headers_that_the_server_needs():
     async def scenario():
         async with fleet("a") as installation:
-            status, body, _ = await installation.ask(
+            status, body, _ = await installation.send_request(
                 "a",
                 "/submit/2?x=1",
                 "POST",
@@ -47,9 +47,11 @@
 def test_requests_without_a_route_or_a_valid_host_are_refused():
     async def scenario():
         async with fleet("a") as installation:
-            assert (await installation.ask("a", "/other/1"))[0] == 404
-            assert (await installation.ask("a", Host="nobody.example"))[0] == 404
-            assert (await installation.ask("a", **{"Deadline-Remaining": "soon"}))[0] == 400
+            assert (await installation.send_request("a", "/other/1"))[0] == 404
+            assert (await installation.send_request("a", Host="nobody.example"))[0] == 404
+            assert (await installation.send_request("a", **{"Deadline-Remaining": "soon"}))[
+                0
+            ] == 400
             for host_lines in (b"", b"Host: papers.example\r\nHost: papers.example\r\n"):
                 port = installation.daemons["a"].entry_server.port
                 reader, writer = await asyncio.open_connection(HOST, port)
@@ -64,7 +66,7 @@
 def test_without_a_configuration_requests_are_answered_with_503_not_404():
     async def scenario():
         async with fleet("a", configured=False) as installation:
-            status, _, headers = await installation.ask("a")
+            status, _, headers = await installation.send_request("a")
             assert status == 503 and float(headers["Retry-After"]) > 0
             assert not installation.daemons["a"].status().ready
 
@@ -77,7 +79,7 @@
             installation.backends["a"].trouble = Trouble.SHED
             for number in range(6):
                 method, path = [("GET", "/view/1"), ("POST", "/submit/1")][number % 2]
-                status, body, _ = await installation.ask("a", path, method)
+                status, body, _ = await installation.send_request("a", path, method)
                 assert (status, body) == (200, b"i-b")
 
     run(scenario)
@@ -93,14 +95,14 @@
                 installation.backends["a"].trouble = trouble
                 statuses = set()
                 for number in range(12):
-                    status, _, _ = await installation.ask(
+                    status, _, _ = await installation.send_request(
                         "b", "/submit/1", "POST", **{"Request-Id": f"s-{number}"}
                     )
                     statuses.add(status)
                 ran = installation.backends["a"].ran + installation.backends["b"].ran
                 assert len(ran) == len(set(ran))
                 assert statuses <= {200, 500, 502}
-                assert (await installation.ask("b"))[0] == 200
+                assert (await installation.send_request("b"))[0] == 200
 
     run(scenario)
 
@@ -112,7 +114,7 @@
             assert await installation.send_heartbeat("a", 2, "draining") == 200
             run_count = len(installation.backends["a"].ran)
             for _ in range(10):
-                assert (await installation.ask("a"))[1] == b"i-b"
+                assert (await installation.send_request("a"))[1] == b"i-b"
             assert len(installation.backends["a"].ran) == run_count
 
             async def is_listed_as_leaving():
@@ -132,7 +134,7 @@
             await installation.send_heartbeat("a", 2, "draining")
             await installation.stop("a")
             assert (KINDS[INSTANCE_KIND], "a") not in installation.store.objects
-            assert (await installation.ask("b"))[1] == b"i-b"
+            assert (await installation.send_request("b"))[1] == b"i-b"
 
     run(scenario)
 
@@ -206,7 +208,7 @@
             await installation.send_heartbeat("a", 1)
 
             async def is_served_by_new_server():
-                return (await installation.ask("a"))[1] == b"i-new"
+                return (await installation.send_request("a"))[1] == b"i-new"
 
             await eventually(is_served_by_new_server)
 
@@ -219,11 +221,11 @@
             installation.backends["a"].health = 503
             await installation.stop("a")
             await installation.start("a")
-            status, _, _ = await installation.ask("a")
+            status, _, _ = await installation.send_request("a")
             assert status == 503 and installation.backends["a"].ran == []
             await installation.send_heartbeat("a", 7)
             await installation.ready()
-            assert (await installation.ask("a"))[0] == 200
+            assert (await installation.send_request("a"))[0] == 200
 
     run(scenario)
 
@@ -233,8 +235,8 @@
         async with fleet("a", "b") as installation:
             installation.store.write("config", "main", configuration(9, "/seen/"))
             await installation.ready(9)
-            assert (await installation.ask("a", "/seen/1"))[0] == 200
-            assert (await installation.ask("b", "/view/1"))[0] == 404
+            assert (await installation.send_request("a", "/seen/1"))[0] == 200
+            assert (await installation.send_request("b", "/view/1"))[0] == 404
 
     run(scenario)
 
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -76,7 +76,7 @@
         backend = PlainBackend("i-a", trouble=Trouble.RESET)
         async with fleet("a", make_backend=lambda name: backend) as installation:
             for _ in range(6):
-                assert (await installation.ask("a"))[2][
+                assert (await installation.send_request("a"))[2][
                     "wheatslip-outcome"
                 ] != "not-run; ends-servers"
             status = installation.daemons["a"].status()
--- a/test/test_start.py
+++ b/test/test_start.py
@@ -14,7 +14,9 @@
             may_answer = asyncio.Event()
             installation.store.before_answer = may_answer.wait
             await installation.start("a")
-            early_requests = [asyncio.create_task(installation.ask("a")) for _ in range(5)]
+            early_requests = [
+                asyncio.create_task(installation.send_request("a")) for _ in range(5)
+            ]
             await asyncio.sleep(0.05)
             assert not any(task.done() for task in early_requests)
             may_answer.set()
@@ -31,11 +33,11 @@
             await installation.start("a")
             loop = asyncio.get_running_loop()
             sent_at = loop.time()
-            assert (await installation.ask("a"))[0] == 503
+            assert (await installation.send_request("a"))[0] == 503
             assert loop.time() - sent_at < 0.5
             await asyncio.sleep(0.3)
             sent_at = loop.time()
-            assert (await installation.ask("a"))[0] == 503
+            assert (await installation.send_request("a"))[0] == 503
             assert loop.time() - sent_at < 0.15
             installation.store.fault = Fault.NONE
 
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -36,7 +36,7 @@
             before = len(one.backends["a"].received)
             for number in range(20):
                 asking = "ab"[number % 2]
-                assert (await one.ask(asking))[1] == b"i-b"
+                assert (await one.send_request(asking))[1] == b"i-b"
             assert len(one.backends["a"].received) == before
             one.store.fault = Fault.NONE
 
@@ -51,12 +51,15 @@
                 backend.service = 0.05
             # Some are on their way when the trouble begins, some come during it, and some
             # when it ends.
-            asked = [asyncio.create_task(one.ask("a", "/submit/1", "POST")) for _ in range(4)]
+            asked = [
+                asyncio.create_task(one.send_request("a", "/submit/1", "POST"))
+                for _ in range(4)
+            ]
             await asyncio.sleep(0)
             one.store.fault = fault
-            asked += [asyncio.create_task(one.ask("b")) for _ in range(4)]
+            asked += [asyncio.create_task(one.send_request("b")) for _ in range(4)]
             await asyncio.gather(*asked)
-            asked += [asyncio.create_task(one.ask("b", "/submit/2", "POST"))]
+            asked += [asyncio.create_task(one.send_request("b", "/submit/2", "POST"))]
             one.store.fault = Fault.NONE
             assert {(await answer)[0] for answer in asked} == {200}
 
@@ -178,7 +181,7 @@
 
             await eventually(seen_gone)
             for _ in range(10):
-                assert (await one.ask("a"))[0] == 200
+                assert (await one.send_request("a"))[0] == 200
             one.store.fault = Fault.NONE
             await one.ready()
 
@@ -242,7 +245,7 @@
             split["services"]["rolls"] = {"health_path": "/health", "max_connections": 50}
             one.store.write("config", "main", split)
             await one.ready(2)
-            statuses = [(await one.ask("a"))[0] for _ in range(60)]
+            statuses = [(await one.send_request("a"))[0] for _ in range(60)]
             # No server of `rolls` runs, so its part can only be refused.
             assert set(statuses) == {200, 503}
             assert 15 <= statuses.count(503) <= 45
@@ -261,7 +264,7 @@
             split["routes"]["view"]["traffic_split"] = [{"service": "papers", "weight": 1}]
             one.store.write("config", "main", split)
             await one.ready(2)
-            status, _, headers = await one.ask("a")
+            status, _, headers = await one.send_request("a")
             assert status == 503 and float(headers["Retry-After"]) > 0
 
     run(scenario)
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -69,13 +69,13 @@
             await in_force(one, "one")
             before = received(one, "one")
             for number in range(20):
-                status, body, _ = await one.ask("abcd"[number % 4])
+                status, body, _ = await one.send_request("abcd"[number % 4])
                 assert status == 200 and body in (b"i-c", b"i-d")
             assert received(one, "one") == before
             assert all(daemon.status().ready for daemon in one.daemons.values())
             restore(one, "one")
             await in_force(one)
-            bodies = {(await one.ask("a"))[1] for _ in range(40)}
+            bodies = {(await one.send_request("a"))[1] for _ in range(40)}
             assert bodies & {b"i-a", b"i-b"}
 
     run(scenario)
@@ -90,7 +90,7 @@
             deaf = one.daemons["c"]
             deaf.view.drains = ZoneDrains(1)
             before = received(one, "one")
-            statuses = [(await one.ask("c"))[0] for _ in range(20)]
+            statuses = [(await one.send_request("c"))[0] for _ in range(20)]
             assert set(statuses) == {200} and received(one, "one") == before
 
     run(scenario)
@@ -101,7 +101,10 @@
         async with two_zones() as one:
             for backend in one.backends.values():
                 backend.service = 0.4
-            asked = [asyncio.create_task(one.ask("a", "/submit/1", "POST")) for _ in range(20)]
+            asked = [
+                asyncio.create_task(one.send_request("a", "/submit/1", "POST"))
+                for _ in range(20)
+            ]
             await asyncio.sleep(0.1)
             empty(one, "one")
             await in_force(one, "one")
@@ -123,13 +126,13 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             for name in ZONES:
-                status, _, headers = await one.ask(name)
+                status, _, headers = await one.send_request(name)
                 assert status == 503 and float(headers["Retry-After"]) > 0
             assert loop.time() - began < 1.0
             assert received(one, "one") + received(one, "two") == before
             restore(one, "two")
             await in_force(one, "one")
-            assert (await one.ask("a"))[0] == 200
+            assert (await one.send_request("a"))[0] == 200
 
     run(scenario)
 
@@ -144,7 +147,7 @@
             empty(one, "one")
             restore(one, "two")
             await in_force(one, "one")
-            assert (await one.ask("b"))[1] in (b"i-c", b"i-d")
+            assert (await one.send_request("b"))[1] in (b"i-c", b"i-d")
 
     run(scenario)
 
@@ -159,7 +162,7 @@
             await one.start("a")
             statuses = set()
             while 200 not in statuses:
-                statuses.add((await one.ask("a"))[0])
+                statuses.add((await one.send_request("a"))[0])
             assert statuses <= {200, 503} and received(one, "one") == before
 
     run(scenario)
