--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -17,7 +17,7 @@
 from standins.plainbackend import PlainBackend
 from test.helper import run
 from test.routed_fleet import fleet
-from test.test_requests_that_end_servers import FATAL, back_under_a_new_id
+from test.test_requests_that_end_servers import FATAL, register_under_new_id
 
 KNOWN_WITHIN = 3.0  # seconds: what the platform's operators allow
 NAMES = "abcdef"
@@ -35,7 +35,7 @@
 
     def bind(self, one):
         for name, ending in self.items():
-            ending.on_back = partial(back_under_a_new_id, one, name, ending)
+            ending.on_back = partial(register_under_new_id, one, name, ending)
 
     @property
     def count(self):
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -126,7 +126,7 @@
 
         async with fleet(*NAMES, make_backend=make_backend) as installation:
             for name, server in servers.items():
-                server.on_back = partial(back_under_a_new_id, installation, name, server)
+                server.on_back = partial(register_under_new_id, installation, name, server)
 
             async def send(name, path, method, body):
                 data = in_chunks(body) if body is LONG_BODY else body
@@ -139,7 +139,7 @@
     run(scenario)
 
 
-async def back_under_a_new_id(installation, name, server):
+async def register_under_new_id(installation, name, server):
     """Register a restarted server by a heartbeat, under a new id as for each of its starts."""
     backend = installation.backends[name]
     backend.server_id = f"i-{name}-{len(server.ends)}"
