--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -94,7 +94,7 @@
 class Fleet(InProcessDaemons):
     """Daemons with their backend servers, on one store.
 
-    `link_bytes` limits the links of daemons to the store, in bytes per second by
+    `link_bytes_per_second` limits the links of daemons to the store, in bytes per second by
     name. With `has_doors`, each daemon without such a link reaches the store through its own
     door. With `has_control_links`, each daemon's control port is reached through its own link.
     Daemons that are not in `zones` are in zone one.
@@ -106,7 +106,7 @@
     list_settle: str = "0s"
     watch: str = "1s"
     watch_check: str = "0s"
-    link_bytes: dict[str, float] = field(default_factory=dict)
+    link_bytes_per_second: dict[str, float] = field(default_factory=dict)
     links: dict[str, NarrowLink] = field(default_factory=dict)
     has_doors: bool = False
     doors: dict[str, Door] = field(default_factory=dict)
@@ -158,9 +158,11 @@
 
     async def _store_port(self, name):
         """The port of the store for a daemon: that of its link or door, if it has one."""
-        if name in self.link_bytes:
+        if name in self.link_bytes_per_second:
             if name not in self.links:
-                link = NarrowLink(HOST, self.store.server.port, self.link_bytes[name])
+                link = NarrowLink(
+                    HOST, self.store.server.port, self.link_bytes_per_second[name]
+                )
                 await link.open()
                 self.links[name] = link
             return self.links[name].port
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -43,7 +43,7 @@
 
 
 def silent_fleet(**options):
-    options.setdefault("link_bytes", dict.fromkeys(NAMES, inf))
+    options.setdefault("link_bytes_per_second", dict.fromkeys(NAMES, inf))
     return fleet(
         *NAMES,
         watch="20s",
@@ -140,7 +140,9 @@
 def test_the_only_reader_whose_watch_goes_silent_has_a_long_configuration():
     async def scenario():
         links = {"a": LINK * 10}  # the configuration takes 0.13 s
-        async with fleet("a", watch="20s", watch_check="1s", link_bytes=links) as one:
+        async with fleet(
+            "a", watch="20s", watch_check="1s", link_bytes_per_second=links
+        ) as one:
             one.store.write("config", "main", configuration(2, more=LONG))
             await one.ready(2)
             await asyncio.sleep(1.5)
@@ -156,7 +158,7 @@
     async def scenario():
         _, second, third = order("one")[:3]
         links = dict.fromkeys(NAMES, inf) | {third: LINK}
-        async with silent_fleet(link_bytes=links) as one:
+        async with silent_fleet(link_bytes_per_second=links) as one:
             await settled(one)
             one.store.write("config", "main", configuration(2, more=LONG))
             await one.ready(2)
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -58,7 +58,9 @@
     async def scenario():
         names = ("a", "b", "c", "d")
         links = dict.fromkeys(names, LINK)
-        async with fleet(*names, watch="20s", watch_check="500ms", link_bytes=links) as one:
+        async with fleet(
+            *names, watch="20s", watch_check="500ms", link_bytes_per_second=links
+        ) as one:
             one.store.write("config", "main", configuration(2, more=ROUTES))
             one.store.forget()
             async with asyncio.timeout(IN_FORCE_SECONDS):
@@ -69,7 +71,7 @@
 
 def test_a_daemon_that_starts_reads_a_configuration_that_is_long_for_its_link():
     async def scenario():
-        async with fleet("a", link_bytes={"a": LINK}, configured=False) as one:
+        async with fleet("a", link_bytes_per_second={"a": LINK}, configured=False) as one:
             one.store.write("config", "main", configuration(2, more=ROUTES))
             async with asyncio.timeout(IN_FORCE_SECONDS):
                 await one.ready(2)
@@ -82,7 +84,9 @@
 
     async def scenario():
         links = {"a": 10 * LINK}  # the configuration takes 0.13 s
-        async with fleet("a", watch="20s", watch_check="50ms", link_bytes=links) as one:
+        async with fleet(
+            "a", watch="20s", watch_check="50ms", link_bytes_per_second=links
+        ) as one:
             one.store.write("config", "main", configuration(2, more=ROUTES))
             await one.ready(2)
             carried = one.links["a"].carried
