--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -66,8 +66,8 @@
 """
 
 
-def configuration(version=1, prefix="/view/", more=0):
-    """A configuration of two usable routes and `more` that no request matches."""
+def configuration(version=1, prefix="/view/", extra_routes=0):
+    """A configuration of two usable routes and `extra_routes` that no request matches."""
 
     def route(path, route_type):
         return {
@@ -81,7 +81,7 @@
             "max_attempts": 2,
         }
 
-    unused = {f"other-{n}": route(f"/other-{n}/", "safe") for n in range(more)}
+    unused = {f"other-{n}": route(f"/other-{n}/", "safe") for n in range(extra_routes)}
     return {
         "version": version,
         "routes": unused
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -143,11 +143,11 @@
         async with fleet(
             "a", watch="20s", watch_check="1s", link_bytes_per_second=links
         ) as one:
-            one.store.write("config", "main", configuration(2, more=LONG))
+            one.store.write("config", "main", configuration(2, extra_routes=LONG))
             await one.ready(2)
             await asyncio.sleep(1.5)
             one.links["a"].silence()
-            await change_arrives(one, 3, IN_TOUCH_SECONDS, more=LONG)
+            await change_arrives(one, 3, IN_TOUCH_SECONDS, extra_routes=LONG)
 
     run(scenario)
 
@@ -160,7 +160,7 @@
         links = dict.fromkeys(NAMES, inf) | {third: LINK}
         async with silent_fleet(link_bytes_per_second=links) as one:
             await settled(one)
-            one.store.write("config", "main", configuration(2, more=LONG))
+            one.store.write("config", "main", configuration(2, extra_routes=LONG))
             await one.ready(2)
             read = one.links[third].carried
             server = one.backends[second].server_id
@@ -172,7 +172,7 @@
                 return reader.feed.is_watcher and one.store.waiting["config"] >= 2 * WATCHERS
 
             await eventually(watches)
-            await change_arrives(one, 3, prefix="/other/", more=LONG)
+            await change_arrives(one, 3, prefix="/other/", extra_routes=LONG)
             await asyncio.sleep(IN_FORCE_SECONDS)
             assert one.links[third].carried - read < 1.5 * SIZE  # the new version, once
 
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -61,7 +61,7 @@
         async with fleet(
             *names, watch="20s", watch_check="500ms", link_bytes_per_second=links
         ) as one:
-            one.store.write("config", "main", configuration(2, more=ROUTES))
+            one.store.write("config", "main", configuration(2, extra_routes=ROUTES))
             one.store.forget()
             async with asyncio.timeout(IN_FORCE_SECONDS):
                 await one.ready(2)
@@ -72,7 +72,7 @@
 def test_a_daemon_that_starts_reads_a_configuration_that_is_long_for_its_link():
     async def scenario():
         async with fleet("a", link_bytes_per_second={"a": LINK}, configured=False) as one:
-            one.store.write("config", "main", configuration(2, more=ROUTES))
+            one.store.write("config", "main", configuration(2, extra_routes=ROUTES))
             async with asyncio.timeout(IN_FORCE_SECONDS):
                 await one.ready(2)
 
@@ -87,7 +87,7 @@
         async with fleet(
             "a", watch="20s", watch_check="50ms", link_bytes_per_second=links
         ) as one:
-            one.store.write("config", "main", configuration(2, more=ROUTES))
+            one.store.write("config", "main", configuration(2, extra_routes=ROUTES))
             await one.ready(2)
             carried = one.links["a"].carried
             calls = len(one.store.calls)
@@ -203,7 +203,7 @@
     async def scenario():
         store = StoreStandIn()
         await store.server.listen(HOST, 0)
-        store.write("config", "main", configuration(more=ROUTES))
+        store.write("config", "main", configuration(extra_routes=ROUTES))
         link = NarrowLink(HOST, store.server.port, LINK)
         await link.open()
         client = FleetStore(f"{HOST}:{link.port}")
