--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -229,16 +229,16 @@
 
 
 @asynccontextmanager
-async def fleet(*names, configured=True, written=None, **options):
+async def fleet(*names, configured=True, initial_configuration=None, **options):
     """Run daemons of these names.
 
-    Without `written`, the store has the default configuration at the start. With
+    Without `initial_configuration`, the store has the default configuration at the start. With
     `configured=False` it has none, and the daemons do not get ready.
     """
     store = StoreStandIn()
     await store.server.listen(HOST, 0)
     if configured:
-        store.write("config", "main", written or configuration())
+        store.write("config", "main", initial_configuration or configuration())
     installation = Fleet(store, aiohttp.ClientSession(), **options)
     try:
         await asyncio.gather(*(installation.add(name) for name in names))
--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -19,9 +19,11 @@
 
 @asynccontextmanager
 async def cold_fleet(*names, **options):
-    written = configuration()
-    written["services"]["papers"] |= COLD
-    async with fleet(*names, written=written, **SETTINGS, **options) as one:
+    initial_configuration = configuration()
+    initial_configuration["services"]["papers"] |= COLD
+    async with fleet(
+        *names, initial_configuration=initial_configuration, **SETTINGS, **options
+    ) as one:
         yield one
 
 
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -232,9 +232,11 @@
 
 def test_a_restored_zone_counts_as_cold_until_its_server_is_asked():
     async def scenario():
-        written = configuration()
-        written["services"]["papers"] |= {"cold_start_s": 2.0, "cold_per_s": 8}
-        async with fleet("a", "b", zones=ZONES, written=written, **SETTINGS) as one:
+        initial_configuration = configuration()
+        initial_configuration["services"]["papers"] |= {"cold_start_s": 2.0, "cold_per_s": 8}
+        async with fleet(
+            "a", "b", zones=ZONES, initial_configuration=initial_configuration, **SETTINGS
+        ) as one:
             backend = one.backends["a"]
             empty(one, "one")
             await in_force(one, "one")
