--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -43,7 +43,7 @@
 list-settle = {list_settle}
 [backend]
 port = {port}
-{more_backend}
+{extra_backend_settings}
 [registration]
 port = 0
 [headers]
@@ -113,7 +113,7 @@
     has_control_links: bool = False
     control_links: dict[str, NarrowLink] = field(default_factory=dict)
     zones: dict[str, str] = field(default_factory=dict)
-    more_backend: str = ""  # more lines of the daemons' settings
+    extra_backend_settings: str = ""  # more lines of the daemons' settings
     more_headers: str = ""
     make_backend: Callable[[str], PlainBackend] = lambda name: PlainBackend(f"i-{name}")
 
@@ -134,7 +134,7 @@
             list_settle=self.list_settle,
             watch=self.watch,
             watch_check=self.watch_check,
-            more_backend=self.more_backend,
+            extra_backend_settings=self.extra_backend_settings,
             more_headers=self.more_headers,
         )
         settings = parse_settings(text, name).unwrap()
--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -12,7 +12,7 @@
 COLD_SECONDS = 1.5
 COLD = {"cold_start_s": COLD_SECONDS, "cold_per_s": 8}
 SETTINGS = {
-    "more_backend": "cold-overage = 1.5\ncold-slack = 8",
+    "extra_backend_settings": "cold-overage = 1.5\ncold-slack = 8",
     "more_headers": "cold = Cold-Remaining",
 }
 
