--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -54,7 +54,7 @@
 not-run = Not-Executed
 server = Instance-Id
 load = Load-Report
-{more_headers}
+{extra_header_settings}
 [retries]
 share = 5
 reserve = 100
@@ -114,7 +114,7 @@
     control_links: dict[str, NarrowLink] = field(default_factory=dict)
     zones: dict[str, str] = field(default_factory=dict)
     extra_backend_settings: str = ""  # more lines of the daemons' settings
-    more_headers: str = ""
+    extra_header_settings: str = ""
     make_backend: Callable[[str], PlainBackend] = lambda name: PlainBackend(f"i-{name}")
 
     async def add(self, name, backend=None):
@@ -135,7 +135,7 @@
             watch=self.watch,
             watch_check=self.watch_check,
             extra_backend_settings=self.extra_backend_settings,
-            more_headers=self.more_headers,
+            extra_header_settings=self.extra_header_settings,
         )
         settings = parse_settings(text, name).unwrap()
         adapters = Adapters(FleetStore(store), decode_heartbeat)
--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -13,7 +13,7 @@
 COLD = {"cold_start_s": COLD_SECONDS, "cold_per_s": 8}
 SETTINGS = {
     "extra_backend_settings": "cold-overage = 1.5\ncold-slack = 8",
-    "more_headers": "cold = Cold-Remaining",
+    "extra_header_settings": "cold = Cold-Remaining",
 }
 
 
