--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -1,4 +1,7 @@
-"""A fleet of routed daemons inside one process: registering servers and the adapter's store."""
+"""Daemons that route by the routes of a configuration, all inside the test process.
+
+Their backend servers register by heartbeats, and their platform is the adapter's store.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +21,7 @@
 from standins.cluster import HOST, eventually
 from standins.link import NarrowLink
 from standins.plainbackend import PlainBackend
-from test.helper import InProcess
+from test.helper import InProcessDaemons
 
 SETTINGS = """
 [daemon]
@@ -37,10 +40,10 @@
 watch = {watch}
 watch-check = {watch_check}
 list-watch = {watch}
-list-settle = {settle}
+list-settle = {list_settle}
 [backend]
 port = {port}
-{more_backend}
+{extra_backend_settings}
 [registration]
 port = 0
 [headers]
@@ -51,7 +54,7 @@
 not-run = Not-Executed
 server = Instance-Id
 load = Load-Report
-{more_headers}
+{extra_header_settings}
 [retries]
 share = 5
 reserve = 100
@@ -63,14 +66,14 @@
 """
 
 
-def configuration(version=1, prefix="/view/", more=0):
-    """A configuration of two routes and `more` that nobody asks for."""
+def configuration(version=1, prefix="/view/", extra_routes=0):
+    """A configuration of two usable routes and `extra_routes` that no request matches."""
 
-    def route(path, kind):
+    def route(path, route_type):
         return {
             "host": "papers.example",
             "path_prefix": path,
-            "route_type": kind,
+            "route_type": route_type,
             "timeout_s": 2.0,
             "target_latency_s": 1.0,
             "priority": 1,
@@ -78,38 +81,40 @@
             "max_attempts": 2,
         }
 
-    others = {f"other-{n}": route(f"/other-{n}/", "safe") for n in range(more)}
+    unused = {f"other-{n}": route(f"/other-{n}/", "safe") for n in range(extra_routes)}
     return {
         "version": version,
-        "routes": others
+        "routes": unused
         | {"view": route(prefix, "safe"), "submit": route("/submit/", "unsafe")},
         "services": {"papers": {"health_path": "/health", "max_connections": 50}},
     }
 
 
 @dataclass
-class Fleet(InProcess):
-    """Daemons with their servers, on one store. `link_bytes` bounds what the link of a daemon
-    to the store carries a second; with `has_doors` each daemon without such a link reaches the
-    store through a door of its own. Daemons that `zones` does not name are in zone one. With
-    `has_control_links` daemons reach the control port of each through a link of its own.
+class Fleet(InProcessDaemons):
+    """Daemons with their backend servers, on one store.
+
+    `link_bytes_per_second` limits the links of daemons to the store, in bytes per second by
+    name. With `has_doors`, each daemon without such a link reaches the store through its own
+    door. With `has_control_links`, each daemon's control port is reached through its own link.
+    Daemons that are not in `zones` are in zone one.
     """
 
     store: StoreStandIn
     session: aiohttp.ClientSession
     backends: dict[str, PlainBackend] = field(default_factory=dict)
-    settle: str = "0s"
+    list_settle: str = "0s"
     watch: str = "1s"
     watch_check: str = "0s"
-    link_bytes: dict[str, float] = field(default_factory=dict)
+    link_bytes_per_second: dict[str, float] = field(default_factory=dict)
     links: dict[str, NarrowLink] = field(default_factory=dict)
     has_doors: bool = False
     doors: dict[str, Door] = field(default_factory=dict)
     has_control_links: bool = False
     control_links: dict[str, NarrowLink] = field(default_factory=dict)
     zones: dict[str, str] = field(default_factory=dict)
-    more_backend: str = ""  # lines of the daemons' settings
-    more_headers: str = ""
+    extra_backend_settings: str = ""  # more lines of the daemons' settings
+    extra_header_settings: str = ""
     make_backend: Callable[[str], PlainBackend] = lambda name: PlainBackend(f"i-{name}")
 
     async def add(self, name, backend=None):
@@ -126,24 +131,24 @@
             port=port,
             zone=self.zones.get(name, "one"),
             store=store,
-            settle=self.settle,
+            list_settle=self.list_settle,
             watch=self.watch,
             watch_check=self.watch_check,
-            more_backend=self.more_backend,
-            more_headers=self.more_headers,
+            extra_backend_settings=self.extra_backend_settings,
+            extra_header_settings=self.extra_header_settings,
         )
         settings = parse_settings(text, name).unwrap()
         adapters = Adapters(FleetStore(store), decode_heartbeat)
         await self.start_daemon(settings, seed=3, adapters=adapters)
 
-    async def prepare(self, daemon):
-        """Let the daemon list its link's port in place of its own control port."""
+    async def prepare_daemon(self, daemon):
+        """Put a link before the daemon's control port; the daemon lists the link's port."""
         if not self.has_control_links:
             return
-        listen = daemon.feed.relay.listen
+        listen_directly = daemon.feed.relay.listen
 
         async def listen_behind_link(host, port):
-            await listen(host, port)
+            await listen_directly(host, port)
             link = NarrowLink(HOST, daemon.feed.relay.port, inf)
             await link.open()
             self.control_links[daemon.settings.name] = link
@@ -152,10 +157,12 @@
         daemon.feed.relay.listen = listen_behind_link
 
     async def _store_port(self, name):
-        """Where a daemon finds the store: behind its link or its door, if it has one."""
-        if name in self.link_bytes:
+        """The port of the store for a daemon: that of its link or door, if it has one."""
+        if name in self.link_bytes_per_second:
             if name not in self.links:
-                link = NarrowLink(HOST, self.store.server.port, self.link_bytes[name])
+                link = NarrowLink(
+                    HOST, self.store.server.port, self.link_bytes_per_second[name]
+                )
                 await link.open()
                 self.links[name] = link
             return self.links[name].port
@@ -166,7 +173,7 @@
             return self.doors[name].server.port
         return self.store.server.port
 
-    async def beat(self, name, sequence, state="ready", server=None):
+    async def send_heartbeat(self, name, sequence, state="ready", server=None):
         backend = self.backends[name]
         body = {
             "address": f"{HOST}:{backend.server.port}",
@@ -182,15 +189,15 @@
         async with self.session.put(url, json=body) as answer:
             return answer.status
 
-    async def ask(self, name, path="/view/1", method="GET", body=b"", **headers):
-        """Status, body and headers of the answer."""
+    async def send_request(self, name, path="/view/1", method="GET", body=b"", **headers):
+        """Send a request to a daemon; returns the response's status, body and headers."""
         url = f"http://{HOST}:{self.daemons[name].entry_server.port}{path}"
         headers = {"Host": "papers.example", "Request-Id": "r-1"} | headers
         async with self.session.request(method, url, data=body, headers=headers) as answer:
             return answer.status, await answer.read(), answer.headers
 
     async def ready(self, version=1):
-        def check():
+        def are_ready():
             return all(
                 d.status().version == version
                 and d.status().members == len(self.daemons)
@@ -198,17 +205,16 @@
                 for d in self.daemons.values()
             )
 
-        async def checked():
-            return check()
+        async def check():
+            return are_ready()
 
         try:
-            await eventually(checked)
+            await eventually(check)
         except TimeoutError as error:
-            # What each daemon lacks, so that one failure is enough to trace it.
             raise AssertionError(self.states()) from error
 
     def states(self):
-        """What each daemon knows, for a failure's report."""
+        """The state of each daemon, for the message of a failed test."""
         return {
             name: (
                 self.tasks[name].done(),
@@ -223,25 +229,29 @@
 
 
 @asynccontextmanager
-async def fleet(*names, configured=True, written=None, **options):
-    """`written` is the configuration to begin with, the usual one if it is not given."""
+async def fleet(*names, configured=True, initial_configuration=None, **options):
+    """Run daemons of these names.
+
+    Without `initial_configuration`, the store has the default configuration at the start. With
+    `configured=False` it has none, and the daemons do not get ready.
+    """
     store = StoreStandIn()
     await store.server.listen(HOST, 0)
     if configured:
-        store.write("config", "main", written or configuration())
-    one = Fleet(store, aiohttp.ClientSession(), **options)
+        store.write("config", "main", initial_configuration or configuration())
+    installation = Fleet(store, aiohttp.ClientSession(), **options)
     try:
-        await asyncio.gather(*(one.add(name) for name in names))
+        await asyncio.gather(*(installation.add(name) for name in names))
         if configured:
-            await one.ready()
-        yield one
+            await installation.ready()
+        yield installation
     finally:
-        await one.stop_all()
-        for backend in one.backends.values():
+        await installation.stop_all()
+        for backend in installation.backends.values():
             await backend.server.stop(0.0)
-        for link in (*one.links.values(), *one.control_links.values()):
+        for link in (*installation.links.values(), *installation.control_links.values()):
             await link.close()
-        for door in one.doors.values():
+        for door in installation.doors.values():
             await door.server.stop(0.0)
-        await one.session.close()
+        await installation.session.close()
         await store.server.stop(0.0)
--- a/test/test_cold_servers.py
+++ b/test/test_cold_servers.py
@@ -12,8 +12,8 @@
 COLD_SECONDS = 1.5
 COLD_START_SETTINGS = {"cold_start_s": COLD_SECONDS, "cold_per_s": 8}
 SETTINGS = {
-    "more_backend": "cold-overage = 1.5\ncold-slack = 8",
-    "more_headers": "cold = Cold-Remaining",
+    "extra_backend_settings": "cold-overage = 1.5\ncold-slack = 8",
+    "extra_header_settings": "cold = Cold-Remaining",
 }
 
 
@@ -21,7 +21,9 @@
 async def cold_fleet(*daemon_names, **options):
     config = configuration()
     config["services"]["papers"] |= COLD_START_SETTINGS
-    async with fleet(*daemon_names, written=config, **SETTINGS, **options) as cluster:
+    async with fleet(
+        *daemon_names, initial_configuration=config, **SETTINGS, **options
+    ) as cluster:
         yield cluster
 
 
@@ -40,7 +42,7 @@
     end = loop.time() + seconds
     pending = []
     while loop.time() < end:
-        pending.append(asyncio.create_task(cluster.ask(daemon_name)))
+        pending.append(asyncio.create_task(cluster.send_request(daemon_name)))
         await asyncio.sleep(1 / rate)
     return [(await answer)[0] for answer in pending]
 
@@ -51,7 +53,7 @@
             backend = cluster.backends["a"]
             backend.server_id = "i-next"
             turn_cold(backend)
-            assert await cluster.beat("a", 1) == 200
+            assert await cluster.send_heartbeat("a", 1) == 200
             backend.arrivals.clear()
             statuses = await send_at_rate(cluster, COLD_SECONDS)
             assert 0 < max_per_second_while_cold(backend) <= MAX_STARTS_PER_SECOND
@@ -64,9 +66,9 @@
 def test_running_server_that_turns_cold_is_limited_after_its_heartbeat():
     async def scenario():
         async with cold_fleet("a") as cluster:
-            await cluster.beat("a", 1)
+            await cluster.send_heartbeat("a", 1)
             turn_cold(cluster.backends["a"])
-            await cluster.beat("a", 2)
+            await cluster.send_heartbeat("a", 2)
             cluster.backends["a"].arrivals.clear()
             await send_at_rate(cluster, COLD_SECONDS)
             assert max_per_second_while_cold(cluster.backends["a"]) <= MAX_STARTS_PER_SECOND
@@ -94,7 +96,7 @@
             for backend in cluster.backends.values():
                 backend.service = 0.01
             turn_cold(cluster.backends["a"])
-            await cluster.beat("a", 1)
+            await cluster.send_heartbeat("a", 1)
             for backend in cluster.backends.values():
                 backend.arrivals.clear()
             statuses = await send_at_rate(cluster, COLD_SECONDS / 2)
@@ -126,16 +128,16 @@
 def test_unregistered_server_at_a_known_address_gets_at_most_one_request():
     async def scenario():
         async with cold_fleet("a", "b") as cluster:
-            await cluster.beat("a", 1)
-            await cluster.beat("b", 1)
+            await cluster.send_heartbeat("a", 1)
+            await cluster.send_heartbeat("b", 1)
             backend = cluster.backends["a"]
             backend.server_id = "i-next"  # restarted after a crash, no heartbeat yet
             backend.received.clear()
-            statuses = [(await cluster.ask("ab"[n % 2]))[0] for n in range(30)]
+            statuses = [(await cluster.send_request("ab"[n % 2]))[0] for n in range(30)]
             assert set(statuses) == {200} and len(backend.received) <= 1
-            await cluster.beat("a", 2, server="i-a")  # the registered server is back
+            await cluster.send_heartbeat("a", 2, server="i-a")  # the registered server is back
             backend.server_id = "i-a"
-            await asyncio.gather(*(cluster.ask("a") for _ in range(30)))
+            await asyncio.gather(*(cluster.send_request("a") for _ in range(30)))
             assert len(backend.received) > 1
 
     run(scenario)
--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -17,7 +17,7 @@
 from standins.plainbackend import PlainBackend
 from test.helper import run
 from test.routed_fleet import fleet
-from test.test_requests_that_end_servers import FATAL, back_under_a_new_id
+from test.test_requests_that_end_servers import FATAL, register_under_new_id
 
 PROPAGATION_SECONDS = 3.0  # required by the operators of the users' platform
 NAMES = "abcdef"
@@ -35,7 +35,7 @@
 
     def restart_on_end(self, cluster):
         for name, server in self.items():
-            server.on_back = partial(back_under_a_new_id, cluster, name, server)
+            server.on_back = partial(register_under_new_id, cluster, name, server)
 
     @property
     def end_count(self):
@@ -50,7 +50,9 @@
     """Send the fatal request to one daemon until that daemon holds it."""
     servers.restart_on_end(cluster)
     async with asyncio.timeout(20):
-        while (await cluster.ask("a", FATAL))[2].get("wheatslip-outcome") != HELD_OUTCOME:
+        while (await cluster.send_request("a", FATAL))[2].get(
+            "wheatslip-outcome"
+        ) != HELD_OUTCOME:
             await asyncio.sleep(0.02)
     assert servers.end_count >= HOLD_AFTER_ENDS
 
@@ -74,7 +76,7 @@
     """Assert that no daemon forwards the fatal request to a server."""
     before = servers.end_count
     for name in names:
-        assert (await cluster.ask(name, FATAL))[2]["wheatslip-outcome"] == HELD_OUTCOME
+        assert (await cluster.send_request(name, FATAL))[2]["wheatslip-outcome"] == HELD_OUTCOME
     assert servers.end_count == before
 
 
@@ -184,7 +186,7 @@
             async with asyncio.timeout(PROPAGATION_SECONDS):
                 await eventually(is_lifted)
             await cluster.ready()
-            assert (await cluster.ask("d", FATAL))[0] == 200
+            assert (await cluster.send_request("d", FATAL))[0] == 200
 
     run(scenario)
 
@@ -200,13 +202,13 @@
             for name in cluster.backends:
                 cluster.backends[name].service = 0.05
 
-            async def ask(number):
-                _, _, headers = await cluster.ask("abcd"[number % 4], "/view/hot")
+            async def send_request(number):
+                _, _, headers = await cluster.send_request("abcd"[number % 4], "/view/hot")
                 outcomes.append(headers["wheatslip-outcome"])
 
             tasks = []
             for number in range(600):
-                tasks.append(asyncio.create_task(ask(number)))
+                tasks.append(asyncio.create_task(send_request(number)))
                 if number % 25 == 24:
                     server = list(servers.values())[number // 25 % 4]
                     server.end()
@@ -236,19 +238,21 @@
             for backend in cluster.backends.values():
                 backend.service = 0.05
 
-            async def ask(path, number):
+            async def send_request(path, number):
                 for attempt in range(5):
                     name = "abcd"[(number + attempt) % 4]
-                    status, _, headers = await cluster.ask(name, path)
+                    status, _, headers = await cluster.send_request(name, path)
                     outcomes.append((path, headers["wheatslip-outcome"]))
                     if status == 200:
                         return
 
             tasks = []
             for number in range(150):
-                tasks.append(asyncio.create_task(ask(f"/view/single-{number}", number)))
+                tasks.append(
+                    asyncio.create_task(send_request(f"/view/single-{number}", number))
+                )
                 if number % 10 == 0:
-                    tasks.append(asyncio.create_task(ask(FATAL, number)))
+                    tasks.append(asyncio.create_task(send_request(FATAL, number)))
                 await asyncio.sleep(0.02)
             await asyncio.gather(*tasks)
             held = {path for path, outcome in outcomes if outcome == HELD_OUTCOME}
--- a/test/test_harmful_configurations.py
+++ b/test/test_harmful_configurations.py
@@ -49,7 +49,7 @@
             await asyncio.sleep(0.3)
             assert not cluster.tasks["a"].done()
             assert cluster.daemons["a"].status().version == 1
-            assert (await cluster.ask("a"))[0] == 200
+            assert (await cluster.send_request("a"))[0] == 200
             cluster.store.write("config", "main", configuration(3))
             await cluster.ready(3)
 
@@ -65,10 +65,10 @@
             await cluster.ready(2)
 
             async def is_served():
-                return (await cluster.ask("a"))[0] == 200
+                return (await cluster.send_request("a"))[0] == 200
 
             await eventually(is_served)
-            assert {(await cluster.ask("a"))[0] for _ in range(30)} == {200, 503}
+            assert {(await cluster.send_request("a"))[0] for _ in range(30)} == {200, 503}
 
     run(scenario)
 
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -40,7 +40,7 @@
 
 
 def fleet_with_links(**options):
-    options.setdefault("link_bytes", dict.fromkeys(NAMES, inf))
+    options.setdefault("link_bytes_per_second", dict.fromkeys(NAMES, inf))
     return fleet(
         *NAMES,
         watch="20s",
@@ -139,12 +139,16 @@
 def test_a_large_change_arrives_at_a_single_watcher_whose_watch_falls_silent():
     async def scenario():
         links = {"a": LINK_BYTES_PER_SECOND * 10}  # the configuration takes 0.13 s
-        async with fleet("a", watch="20s", watch_check="1s", link_bytes=links) as cluster:
-            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+        async with fleet(
+            "a", watch="20s", watch_check="1s", link_bytes_per_second=links
+        ) as cluster:
+            cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
             await cluster.ready(2)
             await asyncio.sleep(1.5)
             cluster.links["a"].silence()
-            await assert_change_in_force(cluster, 3, RECONNECT_SECONDS, more=EXTRA_ROUTES)
+            await assert_change_in_force(
+                cluster, 3, RECONNECT_SECONDS, extra_routes=EXTRA_ROUTES
+            )
 
     run(scenario)
 
@@ -155,13 +159,13 @@
     async def scenario():
         _, second, third = zone_order("one")[:3]
         links = dict.fromkeys(NAMES, inf) | {third: LINK_BYTES_PER_SECOND}
-        async with fleet_with_links(link_bytes=links) as cluster:
+        async with fleet_with_links(link_bytes_per_second=links) as cluster:
             await wait_until_connected(cluster)
-            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+            cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
             await cluster.ready(2)
             carried_before = cluster.links[third].carried
             server = cluster.backends[second].server_id
-            assert await cluster.beat(second, 1, "draining", server) == 200
+            assert await cluster.send_heartbeat(second, 1, "draining", server) == 200
             await cluster.stop(second)
             new_watcher = cluster.daemons[third]
 
@@ -172,7 +176,9 @@
                 )
 
             await eventually(is_watching)
-            await assert_change_in_force(cluster, 3, prefix="/other/", more=EXTRA_ROUTES)
+            await assert_change_in_force(
+                cluster, 3, prefix="/other/", extra_routes=EXTRA_ROUTES
+            )
             await asyncio.sleep(IN_FORCE_SECONDS)
             # The daemon reads only the new version, and once.
             assert cluster.links[third].carried - carried_before < 1.5 * CONFIGURATION_BYTES
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -44,8 +44,10 @@
     async def scenario():
         names = ("a", "b", "c", "d")
         links = dict.fromkeys(names, LINK_BYTES_PER_SECOND)
-        async with fleet(*names, watch="20s", watch_check="500ms", link_bytes=links) as cluster:
-            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+        async with fleet(
+            *names, watch="20s", watch_check="500ms", link_bytes_per_second=links
+        ) as cluster:
+            cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
             cluster.store.forget()
             async with asyncio.timeout(IN_FORCE_SECONDS):
                 await cluster.ready(2)
@@ -56,9 +58,9 @@
 def test_a_starting_daemon_reads_a_large_configuration_on_a_slow_link():
     async def scenario():
         async with fleet(
-            "a", link_bytes={"a": LINK_BYTES_PER_SECOND}, configured=False
+            "a", link_bytes_per_second={"a": LINK_BYTES_PER_SECOND}, configured=False
         ) as cluster:
-            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+            cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
             async with asyncio.timeout(IN_FORCE_SECONDS):
                 await cluster.ready(2)
 
@@ -70,8 +72,10 @@
 
     async def scenario():
         links = {"a": 10 * LINK_BYTES_PER_SECOND}  # the configuration takes 0.13 s
-        async with fleet("a", watch="20s", watch_check="50ms", link_bytes=links) as cluster:
-            cluster.store.write("config", "main", configuration(2, more=EXTRA_ROUTES))
+        async with fleet(
+            "a", watch="20s", watch_check="50ms", link_bytes_per_second=links
+        ) as cluster:
+            cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
             await cluster.ready(2)
             carried_before = cluster.links["a"].carried
             calls = len(cluster.store.calls)
@@ -192,7 +196,7 @@
     async def scenario():
         store = StoreStandIn()
         await store.server.listen(HOST, 0)
-        store.write("config", "main", configuration(more=EXTRA_ROUTES))
+        store.write("config", "main", configuration(extra_routes=EXTRA_ROUTES))
         link = NarrowLink(HOST, store.server.port, LINK_BYTES_PER_SECOND)
         await link.open()
         client = FleetStore(f"{HOST}:{link.port}")
--- a/test/test_store_comes_back_older.py
+++ b/test/test_store_comes_back_older.py
@@ -161,13 +161,13 @@
 def test_a_lost_leaving_state_is_listed_again():
     async def scenario():
         async with watching_fleet() as cluster:
-            assert await cluster.beat("a", 1) == 200
+            assert await cluster.send_heartbeat("a", 1) == 200
             await wait_until_watching(cluster)
             copy = cluster.store.copy()
-            assert await cluster.beat("a", 2, "draining") == 200
+            assert await cluster.send_heartbeat("a", 2, "draining") == 200
             await wait_at_all_daemons(cluster, is_leaving)
             cluster.store.restore(copy)
-            assert await cluster.beat("a", 3, "draining") == 200
+            assert await cluster.send_heartbeat("a", 3, "draining") == 200
 
             async def is_listed():
                 stored = cluster.store.objects["wheatslip-instances", "a"]
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -30,13 +30,13 @@
 def test_an_acknowledged_drain_is_in_force_during_a_store_fault(fault):
     async def scenario():
         async with fleet("a", "b") as cluster:
-            await cluster.beat("a", 1)
+            await cluster.send_heartbeat("a", 1)
             cluster.store.fault = fault
-            assert await cluster.beat("a", 2, "draining") == 200
+            assert await cluster.send_heartbeat("a", 2, "draining") == 200
             before = len(cluster.backends["a"].received)
             for number in range(20):
                 name = "ab"[number % 2]
-                assert (await cluster.ask(name))[1] == b"i-b"
+                assert (await cluster.send_request(name))[1] == b"i-b"
             assert len(cluster.backends["a"].received) == before
             cluster.store.fault = Fault.NONE
 
@@ -51,13 +51,14 @@
                 backend.service = 0.05
             # Requests in flight when the fault begins, during the fault and when it ends.
             requests = [
-                asyncio.create_task(cluster.ask("a", "/submit/1", "POST")) for _ in range(4)
+                asyncio.create_task(cluster.send_request("a", "/submit/1", "POST"))
+                for _ in range(4)
             ]
             await asyncio.sleep(0)
             cluster.store.fault = fault
-            requests += [asyncio.create_task(cluster.ask("b")) for _ in range(4)]
+            requests += [asyncio.create_task(cluster.send_request("b")) for _ in range(4)]
             await asyncio.gather(*requests)
-            requests += [asyncio.create_task(cluster.ask("b", "/submit/2", "POST"))]
+            requests += [asyncio.create_task(cluster.send_request("b", "/submit/2", "POST"))]
             cluster.store.fault = Fault.NONE
             assert {(await request)[0] for request in requests} == {200}
 
@@ -183,7 +184,7 @@
 
             await eventually(is_list_empty)
             for _ in range(10):
-                assert (await cluster.ask("a"))[0] == 200
+                assert (await cluster.send_request("a"))[0] == 200
             cluster.store.fault = Fault.NONE
             await cluster.ready()
 
@@ -249,7 +250,7 @@
             split["services"]["rolls"] = {"health_path": "/health", "max_connections": 50}
             cluster.store.write("config", "main", split)
             await cluster.ready(2)
-            statuses = [(await cluster.ask("a"))[0] for _ in range(60)]
+            statuses = [(await cluster.send_request("a"))[0] for _ in range(60)]
             # No server of `rolls` runs, so its part can only be refused.
             assert set(statuses) == {200, 503}
             assert 15 <= statuses.count(503) <= 45
@@ -268,7 +269,7 @@
             split["routes"]["view"]["traffic_split"] = [{"service": "papers", "weight": 1}]
             cluster.store.write("config", "main", split)
             await cluster.ready(2)
-            status, _, headers = await cluster.ask("a")
+            status, _, headers = await cluster.send_request("a")
             assert status == 503 and float(headers["Retry-After"]) > 0
 
     run(scenario)
@@ -284,9 +285,9 @@
 def test_a_drain_acknowledged_during_a_store_fault_is_listed_after_it():
     async def scenario():
         async with fleet("a", "b") as cluster:
-            await cluster.beat("a", 1)
+            await cluster.send_heartbeat("a", 1)
             cluster.store.fault = Fault.BUSY
-            await cluster.beat("a", 2, "draining")
+            await cluster.send_heartbeat("a", 2, "draining")
             cluster.store.fault = Fault.NONE
 
             async def is_listed():
--- a/test/test_turned_away.py
+++ b/test/test_turned_away.py
@@ -65,8 +65,8 @@
 
 async def assert_drain_known(cluster, name):
     """Drain a server and assert that each daemon lists it as leaving in time."""
-    assert await cluster.beat(name, 1) == 200
-    assert await cluster.beat(name, 2, "draining") == 200
+    assert await cluster.send_heartbeat(name, 1) == 200
+    assert await cluster.send_heartbeat(name, 2, "draining") == 200
 
     async def is_known():
         listed = [d.feed.cache.instances[name] for d in cluster.daemons.values()]
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -69,13 +69,13 @@
             await wait_until_in_force(cluster, "one")
             before = received_count(cluster, "one")
             for number in range(20):
-                status, body, _ = await cluster.ask("abcd"[number % 4])
+                status, body, _ = await cluster.send_request("abcd"[number % 4])
                 assert status == 200 and body in (b"i-c", b"i-d")
             assert received_count(cluster, "one") == before
             assert all(daemon.status().ready for daemon in cluster.daemons.values())
             restore_zone(cluster, "one")
             await wait_until_in_force(cluster)
-            bodies = {(await cluster.ask("a"))[1] for _ in range(40)}
+            bodies = {(await cluster.send_request("a"))[1] for _ in range(40)}
             assert bodies & {b"i-a", b"i-b"}
 
     run(scenario)
@@ -90,7 +90,7 @@
             uninformed = cluster.daemons["c"]
             uninformed.view.drains = ZoneDrains(1)
             before = received_count(cluster, "one")
-            statuses = [(await cluster.ask("c"))[0] for _ in range(20)]
+            statuses = [(await cluster.send_request("c"))[0] for _ in range(20)]
             assert set(statuses) == {200} and received_count(cluster, "one") == before
 
     run(scenario)
@@ -102,7 +102,8 @@
             for backend in cluster.backends.values():
                 backend.service = 0.4
             requests = [
-                asyncio.create_task(cluster.ask("a", "/submit/1", "POST")) for _ in range(20)
+                asyncio.create_task(cluster.send_request("a", "/submit/1", "POST"))
+                for _ in range(20)
             ]
             await asyncio.sleep(0.1)
             drain_zone(cluster, "one")
@@ -125,13 +126,13 @@
             loop = asyncio.get_running_loop()
             started_at = loop.time()
             for name in ZONES:
-                status, _, headers = await cluster.ask(name)
+                status, _, headers = await cluster.send_request(name)
                 assert status == 503 and float(headers["Retry-After"]) > 0
             assert loop.time() - started_at < 1.0
             assert received_count(cluster, "one") + received_count(cluster, "two") == before
             restore_zone(cluster, "two")
             await wait_until_in_force(cluster, "one")
-            assert (await cluster.ask("a"))[0] == 200
+            assert (await cluster.send_request("a"))[0] == 200
 
     run(scenario)
 
@@ -146,7 +147,7 @@
             drain_zone(cluster, "one")
             restore_zone(cluster, "two")
             await wait_until_in_force(cluster, "one")
-            assert (await cluster.ask("b"))[1] in (b"i-c", b"i-d")
+            assert (await cluster.send_request("b"))[1] in (b"i-c", b"i-d")
 
     run(scenario)
 
@@ -161,7 +162,7 @@
             await cluster.start("a")
             statuses = set()
             while 200 not in statuses:
-                statuses.add((await cluster.ask("a"))[0])
+                statuses.add((await cluster.send_request("a"))[0])
             assert statuses <= {200, 503} and received_count(cluster, "one") == before
 
     run(scenario)
@@ -231,9 +232,11 @@
 
 def test_a_restored_zone_counts_as_cold_until_its_server_is_probed():
     async def scenario():
-        written = configuration()
-        written["services"]["papers"] |= {"cold_start_s": 2.0, "cold_per_s": 8}
-        async with fleet("a", "b", zones=ZONES, written=written, **SETTINGS) as cluster:
+        initial_configuration = configuration()
+        initial_configuration["services"]["papers"] |= {"cold_start_s": 2.0, "cold_per_s": 8}
+        async with fleet(
+            "a", "b", zones=ZONES, initial_configuration=initial_configuration, **SETTINGS
+        ) as cluster:
             backend = cluster.backends["a"]
             drain_zone(cluster, "one")
             await wait_until_in_force(cluster, "one")
