--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,5 +1,5 @@
-"""The fault soak: real processes, seeded faults from outside, and a checker of the promises.
+"""Fault injection test: runs real processes, injects seeded faults and checks the guarantees.
 
-`python -m soak --seed S --minutes M`, or `make soak SEED=S MINUTES=M`. docs/SOAK.md says what
-it brings about, what it checks and how a failure is played again.
+`python -m soak --seed S --minutes M`, or `make soak SEED=S MINUTES=M`. docs/SOAK.md lists the
+faults and the checks, and explains how to replay a failure.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,6 +1,6 @@
-"""Runs one soak: `python -m soak --seed 7 --minutes 1`; exit code 0 if all promises held.
+"""Runs one soak: `python -m soak --seed 7 --minutes 1`; exit code 0 if all guarantees held.
 
-With `--other-version PATH` half of the daemons run the code of another checkout.
+With `--other-version PATH`, half of the daemons run the code of another checkout.
 """
 
 import argparse
@@ -14,7 +14,7 @@
 
 from soak.course import Step, beside_other_version, draw
 from soak.history import History, Ran, broken_promises
-from soak.injector import SERVICE, SLOTS, FaultInjector
+from soak.injector import SERVICE_TIME_SECONDS, SLOTS, FaultInjector
 from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
 from standins.operators import Desk
@@ -24,12 +24,12 @@
 ZONES = ("one", "two")
 INSTANCES = 6
 CALLS_PER_SECOND = 40.0
-OBSERVE_SECONDS = 0.2  # between two readings of all status pages
-FATAL_SECONDS = 0.5  # between two of the requests that end each server that runs them
-FATAL = "fatal"  # their kind
-LAST_CALLS = 50  # when all faults are over; all of them must be answered
-SECONDS_A_MINUTE = 60.0
-MORE_SETTINGS = (
+STATUS_INTERVAL_SECONDS = 0.2  # between two readings of all status pages
+FATAL_INTERVAL_SECONDS = 0.5  # between two fatal requests
+FATAL_KIND = "fatal"  # of the request that ends each server that runs it
+FINAL_REQUESTS = 50  # sent after all faults; all of them must be answered
+SECONDS_PER_MINUTE = 60.0
+EXTRA_SETTINGS = (
     "[control]\nwatch = 1s\nwatch-check = 1s\nlist-watch = 1s\n[entry]\nwarm-up = 0s\n"
 )
 
@@ -37,37 +37,37 @@
 async def soak(
     folder: Path, seed: int, seconds: float, other_version: Path | None = None
 ) -> History:
-    """Run the course of a seed and return what was observed.
+    """Run the schedule of a seed and return what was observed.
 
-    With the checkout of another version, the course is the one for two versions side by side;
-    its length does not depend on `seconds`.
+    With the checkout of another version, run the fixed schedule for two versions; its length
+    does not depend on `seconds`.
     """
     plans = make_plans(other_version)
-    cluster = Cluster(folder, MORE_SETTINGS)
+    cluster = Cluster(folder, EXTRA_SETTINGS)
     history = History()
     injector = FaultInjector(cluster, Desk(folder), history, credential_digest(SECRET))
     await cluster.open()
     try:
         await injector.prepare(plans)
         caller = Caller(cluster.session, WORKSPACE, SECRET, Random(f"calls {seed}"))
-        observing = asyncio.create_task(_observe(injector))
-        over = asyncio.Event()
-        sending = asyncio.create_task(_send(caller, cluster, seconds, over))
-        sending_fatal = asyncio.create_task(_send_fatal(cluster, seed, plans))
-        steps, updates = _course(plans, seed, seconds)
-        await _play(injector, steps)
+        version_recorder = asyncio.create_task(_record_versions(injector))
+        schedule_done = asyncio.Event()
+        sender = asyncio.create_task(_send_traffic(caller, cluster, seconds, schedule_done))
+        fatal_sender = asyncio.create_task(_send_fatal_requests(cluster, seed, plans))
+        steps, updates = _make_schedule(plans, seed, seconds)
+        await _run_steps(injector, steps)
         if updates:
-            await injector.wait_until_calm()
-            await _send_in_calm(caller, cluster, history)
-            injector.use_own_code()
-            await _play(injector, updates)
-        over.set()
-        await sending
-        await injector.wait_until_calm()
-        observing.cancel()
-        sending_fatal.cancel()
-        await _send_in_calm(caller, cluster, history)
-        await _collect(injector, caller, history)
+            await injector.wait_until_recovered()
+            await _send_final_requests(caller, cluster, history)
+            injector.use_this_checkout()
+            await _run_steps(injector, updates)
+        schedule_done.set()
+        await sender
+        await injector.wait_until_recovered()
+        version_recorder.cancel()
+        fatal_sender.cancel()
+        await _send_final_requests(caller, cluster, history)
+        await _collect_records(injector, caller, history)
     finally:
         codes = await cluster.close()
     if any(codes):
@@ -76,21 +76,27 @@
 
 
 def make_plans(other_version: Path | None = None) -> list[Plan]:
-    """The instances; with another version's checkout, half of the daemons run its code."""
+    """The instances. With another version's checkout, half of the daemons of each zone run its
+    code.
+    """
     plans = []
     for number in range(INSTANCES):
         zone = number % len(ZONES)
         is_other = (number // len(ZONES) + zone) % 2 == 0
         checkout = other_version if is_other else None
-        # The version before does not know of such requests.
-        fatal = f"/papers/{FATAL}" if other_version is None else ""
+        # The other version may not support the detection of fatal requests.
+        fatal = f"/papers/{FATAL_KIND}" if other_version is None else ""
         name = f"papers-{number + 1}"
-        plans.append(Plan(name, "papers", ZONES[zone], SLOTS, SERVICE, checkout, fatal))
+        plans.append(
+            Plan(name, "papers", ZONES[zone], SLOTS, SERVICE_TIME_SECONDS, checkout, fatal)
+        )
     return plans
 
 
-def _course(plans: list[Plan], seed: int, seconds: float) -> tuple[list[Step], list[Step]]:
-    """The steps, and those that update the other version's daemons, if there are any."""
+def _make_schedule(
+    plans: list[Plan], seed: int, seconds: float
+) -> tuple[list[Step], list[Step]]:
+    """The steps, and the steps that update the daemons of the other version, if any."""
     others = [plan.name for plan in plans if plan.checkout is not None]
     own = [plan.name for plan in plans if plan.checkout is None]
     if others:
@@ -98,33 +104,35 @@
     return draw(seed, seconds, own, ZONES), []
 
 
-async def _play(injector: FaultInjector, steps: list[Step]) -> None:
-    await asyncio.gather(*(_play_step(injector, step) for step in steps))
+async def _run_steps(injector: FaultInjector, steps: list[Step]) -> None:
+    await asyncio.gather(*(_run_step(injector, step) for step in steps))
 
 
-async def _play_step(injector: FaultInjector, step: Step) -> None:
+async def _run_step(injector: FaultInjector, step: Step) -> None:
     await asyncio.sleep(step.at)
-    # The restart that ends an earlier step at this place may take longer than planned.
-    async with injector.places[step.where or step.fault]:
+    # The restart that ends an earlier step on this target may take longer than scheduled.
+    async with injector.locks[step.where or step.fault]:
         await injector.begin(step)
         await asyncio.sleep(step.seconds)
         await injector.end(step)
 
 
-async def _observe(injector: FaultInjector) -> None:
+async def _record_versions(injector: FaultInjector) -> None:
     while True:
-        await injector.observe()
-        await asyncio.sleep(OBSERVE_SECONDS)
+        await injector.record_versions()
+        await asyncio.sleep(STATUS_INTERVAL_SECONDS)
 
 
-async def _send(caller: Caller, cluster: Cluster, seconds: float, over: asyncio.Event) -> None:
-    """Traffic at all entries, whether their daemons run or not, on connections kept open, for
-    so many seconds and until the course is over.
+async def _send_traffic(
+    caller: Caller, cluster: Cluster, seconds: float, schedule_done: asyncio.Event
+) -> None:
+    """Send Poisson traffic over persistent connections to all entries, including those of
+    stopped daemons, for at least `seconds` and until the schedule is done.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     tasks = set()
-    while loop.time() < end or not over.is_set():
+    while loop.time() < end or not schedule_done.is_set():
         await asyncio.sleep(caller.rng.expovariate(CALLS_PER_SECOND))
         member = caller.rng.choice(list(cluster.members.values()))
         once = caller.rng.random() < 0.5
@@ -138,39 +146,39 @@
     await asyncio.gather(*tasks)
 
 
-async def _send_fatal(cluster: Cluster, seed: int, plans: list[Plan]) -> None:
-    """The same request over and over, at any entry. Runs until cancelled; it has a caller of
-    its own, as nobody is owed an answer to it.
+async def _send_fatal_requests(cluster: Cluster, seed: int, plans: list[Plan]) -> None:
+    """Send the fatal request to random entries until cancelled. It uses its own caller, whose
+    requests are not checked, because no answer to this request is guaranteed.
     """
     caller = Caller(cluster.session, WORKSPACE, SECRET, Random(f"fatal {seed}"))
     while any(plan.fatal for plan in plans):
-        await asyncio.sleep(FATAL_SECONDS)
+        await asyncio.sleep(FATAL_INTERVAL_SECONDS)
         member = caller.rng.choice(list(cluster.members.values()))
         port = member.instance.entry_port
-        await caller.send(port, "papers", FATAL, once=False, deadline_ms=2000)
+        await caller.send(port, "papers", FATAL_KIND, once=False, deadline_ms=2000)
 
 
-async def _send_in_calm(caller: Caller, cluster: Cluster, history: History) -> None:
-    for _ in range(LAST_CALLS):
+async def _send_final_requests(caller: Caller, cluster: Cluster, history: History) -> None:
+    for _ in range(FINAL_REQUESTS):
         member = caller.rng.choice(list(cluster.members.values()))
         port = member.instance.entry_port
-        one = await caller.send(port, "papers", "view", once=False)
+        request = await caller.send(port, "papers", "view", once=False)
         history.last_sent += 1
-        history.last_answered += one.reported is Reported.ANSWERED
+        history.last_answered += request.reported is Reported.ANSWERED
 
 
-async def _collect(injector: FaultInjector, caller: Caller, history: History) -> None:
+async def _collect_records(injector: FaultInjector, caller: Caller, history: History) -> None:
     history.requests = caller.requests
     for name, member in injector.cluster.members.items():
         record = await injector.cluster.record(name)
         zone = member.plan.zone
-        history.ran += [Ran(run, zone, run.at - injector.began) for run in record.runs]
-        history.fatal_runs += [at - injector.began for at in record.fatal_runs]
-        history.ends += [at - injector.began for at in record.ends]
+        history.ran += [Ran(run, zone, run.at - injector.started_at) for run in record.runs]
+        history.fatal_runs += [at - injector.started_at for at in record.fatal_runs]
+        history.ends += [at - injector.started_at for at in record.ends]
 
 
 def main() -> int:
-    """Run the soak that the command line asks for; returns the exit code."""
+    """Run the soak that the command line asks for. Returns the exit code."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--minutes", type=float, default=1.0)
@@ -178,30 +186,30 @@
         "--other-version",
         type=Path,
         metavar="PATH",
-        help="root of another checkout: half of the daemons run its code",
+        help="root of another checkout; half of the daemons run its code",
     )
     options = parser.parse_args()
     if options.other_version and not (options.other_version / "packages/wheatslipd").is_dir():
         parser.error(f"{options.other_version} is not the root of a checkout")
     with tempfile.TemporaryDirectory() as folder:
-        seconds = options.minutes * SECONDS_A_MINUTE
+        seconds = options.minutes * SECONDS_PER_MINUTE
         history = asyncio.run(soak(Path(folder), options.seed, seconds, options.other_version))
-    reported = [one.reported for one in history.requests]
-    counts = ", ".join(f"{reported.count(kind)} {kind.value}" for kind in Reported)
+    outcomes = [request.reported for request in history.requests]
+    counts = ", ".join(f"{outcomes.count(kind)} {kind.value}" for kind in Reported)
     print(
-        f"seed {options.seed}: {len(reported)} requests ({counts}), "
+        f"seed {options.seed}: {len(outcomes)} requests ({counts}), "
         f"{len(history.observations)} observations, {len(history.drained_zones)} zone drains, "
         f"{len(history.stopped)} planned stops, {len(history.ends)} ends of servers"
     )
-    broken = broken_promises(history)
-    for sentence in broken:
-        print(f"BROKEN: {sentence}")
-        for one in history.requests:
-            if one.request_id in sentence:
-                print(f"  {one}")
-    if not broken:
-        print("all promises held")
-    return 1 if broken else 0
+    violations = broken_promises(history)
+    for violation in violations:
+        print(f"VIOLATED: {violation}")
+        for request in history.requests:
+            if request.request_id in violation:
+                print(f"  {request}")
+    if not violations:
+        print("all guarantees held")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/soak/course.py
+++ b/soak/course.py
@@ -1,7 +1,7 @@
-"""The course of one soak: which fault begins when, drawn from a seed. Pure code.
+"""Schedule of a soak: which fault starts when, drawn from a seed. This module does no I/O.
 
-Faults come in series and overlap: the next begins before the one before has ended about as
-often as not. Times are seconds from the start of the traffic.
+Faults overlap: about half of them start before the previous one has ended. Times are in seconds
+from the start of the traffic.
 """
 
 from collections.abc import Sequence
@@ -9,32 +9,32 @@
 from enum import StrEnum
 from random import Random
 
-FIRST = 2.0  # seconds of calm before the first fault
-LAST = 6.0  # seconds of calm behind the last one, in which all must be well again
-PAUSE = 1.5  # seconds between the begins of two faults, mean
-SHORTEST = 0.5  # seconds that a fault lasts
-LONGEST = 4.0
-RESTART = 3.0  # seconds from one planned restart to the next
+FIRST = 2.0  # seconds before the first fault
+LAST = 6.0  # seconds after the last fault, in which the cluster must recover
+MEAN_FAULT_INTERVAL_SECONDS = 1.5  # between the starts of two faults
+MIN_FAULT_SECONDS = 0.5
+MAX_FAULT_SECONDS = 4.0
+RESTART_INTERVAL_SECONDS = 3.0  # between two planned restarts
 
 
 class Fault(StrEnum):
-    """What is done from outside."""
+    """A fault or a planned operation that is applied from outside the daemons."""
 
-    KILL = "kill"  # a daemon, by SIGKILL; it is started again at the end
-    STOP = "stop"  # a daemon, by SIGTERM; the same
-    FREEZE = "freeze"  # a daemon, by SIGSTOP and SIGCONT
+    KILL = "kill"  # SIGKILL to a daemon; it is restarted at the end
+    STOP = "stop"  # SIGTERM to a daemon; it is restarted at the end
+    FREEZE = "freeze"  # SIGSTOP to a daemon; SIGCONT at the end
     SLOW_SERVER = "slow-server"
     FAILING_SERVER = "failing-server"
     DRAIN = "drain"  # the platform lists an instance as leaving, and as live at the end
     PLATFORM_DOWN = "platform-down"
     PLATFORM_SLOW = "platform-slow"
-    LOST_WRITES = "lost-writes"  # the platform writes, and does not answer
-    ROLLOUT = "rollout"  # the operators bring the next bundle in force
+    LOST_WRITES = "lost-writes"  # the platform applies writes but does not answer them
+    ROLLOUT = "rollout"  # the operators roll out the next bundle
     ZONE_DRAIN = "zone-drain"  # an operator drains a zone, and restores it at the end
-    SILENCE = "silence"  # open connections between daemons and to the platform say nothing more
+    SILENCE = "silence"  # open connections between daemons and to the platform go silent
 
 
-ON_INSTANCE = frozenset(
+INSTANCE_FAULTS = frozenset(
     {
         Fault.KILL,
         Fault.STOP,
@@ -44,15 +44,18 @@
         Fault.DRAIN,
     }
 )
-# Drawn for themselves, so that the rest of a seed's course stays as it was.
-SEPARATE = (Fault.SILENCE,)
-SILENCES = 20.0  # seconds between two, mean
-ON_PLATFORM = frozenset({Fault.PLATFORM_DOWN, Fault.PLATFORM_SLOW, Fault.LOST_WRITES})
+# Drawn from a separate random sequence, so that adding them did not change the other faults of
+# a seed.
+SEPARATELY_DRAWN_FAULTS = (Fault.SILENCE,)
+MEAN_SILENCE_INTERVAL_SECONDS = 20.0
+PLATFORM_FAULTS = frozenset({Fault.PLATFORM_DOWN, Fault.PLATFORM_SLOW, Fault.LOST_WRITES})
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One fault: from `at` for `seconds`, at the instance or zone `where` (empty: neither)."""
+    """One fault that starts at `at` and lasts `seconds`. `where` names the affected instance or
+    zone; it is empty for other faults.
+    """
 
     at: float
     fault: Fault
@@ -61,91 +64,99 @@
 
     @property
     def end(self) -> float:
-        """When it is over."""
         return self.at + self.seconds
 
 
 def draw(
     seed: int, seconds: float, instances: Sequence[str], zones: Sequence[str]
 ) -> list[Step]:
-    """The steps of a soak of so many seconds.
+    """The steps of a soak that lasts `seconds`.
 
-    No instance and no zone has two faults at a time, and one instance at least has none: with
-    all of them away, the answers would show nothing.
+    No instance and no zone has two faults at the same time, and at least one instance has none:
+    without a working instance no request would be answered.
     """
     rng = Random(f"soak {seed}")
-    drawn = [fault for fault in Fault if fault not in SEPARATE]
+    candidates = [fault for fault in Fault if fault not in SEPARATELY_DRAWN_FAULTS]
     steps: list[Step] = []
     at = FIRST
-    while at < seconds - LAST - SHORTEST:
-        fault = rng.choice(drawn)
-        length = min(rng.uniform(SHORTEST, LONGEST), seconds - LAST - at)
-        step = _place(rng, fault, at, length, steps, instances, zones)
+    while at < seconds - LAST - MIN_FAULT_SECONDS:
+        fault = rng.choice(candidates)
+        duration = min(rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS), seconds - LAST - at)
+        step = _make_step(rng, fault, at, duration, steps, instances, zones)
         if step is not None:
             steps.append(step)
-        at += rng.expovariate(1 / PAUSE)
-    return sorted([*steps, *_silences(seed, seconds)], key=lambda step: step.at)
+        at += rng.expovariate(1 / MEAN_FAULT_INTERVAL_SECONDS)
+    return sorted([*steps, *_draw_silences(seed, seconds)], key=lambda step: step.at)
 
 
-def _silences(seed: int, seconds: float) -> list[Step]:
+def _draw_silences(seed: int, seconds: float) -> list[Step]:
     rng = Random(f"soak silences {seed}")
     steps: list[Step] = []
-    at = FIRST + rng.expovariate(1 / SILENCES)
+    at = FIRST + rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
     while at < seconds - LAST:
         steps.append(Step(at, Fault.SILENCE, "", 0.0))
-        at += rng.expovariate(1 / SILENCES)
+        at += rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
     return steps
 
 
 def beside_other_version(
     others: Sequence[str], own: Sequence[str], zones: Sequence[str]
 ) -> tuple[list[Step], list[Step]]:
-    """The course for a fleet of which `others` run another version's code: what is done while
-    both run, and the updates of `others`, with a change of the configuration behind them.
+    """The fixed schedule for a fleet in which the daemons `others` run the code of another
+    version. Returns the steps while both versions run, and then the steps that update `others`
+    and change the configuration.
     """
-    begin, restarts = 26.0, [*others, *own]
+    restarts_begin, names = 26.0, [*others, *own]
     steps = [
         Step(2.0, Fault.ROLLOUT, "", 1.0),
         Step(6.0, Fault.ZONE_DRAIN, zones[0], 4.0),
         Step(13.0, Fault.DRAIN, others[0], 2.0),
         Step(16.0, Fault.DRAIN, own[0], 2.0),
         Step(22.0, Fault.ROLLOUT, "", 1.0),
-        *_restarts(restarts, begin),
-        Step(begin + RESTART * len(restarts), Fault.ZONE_DRAIN, zones[1], 4.0),
+        *_planned_restarts(names, restarts_begin),
+        Step(
+            restarts_begin + RESTART_INTERVAL_SECONDS * len(names),
+            Fault.ZONE_DRAIN,
+            zones[1],
+            4.0,
+        ),
+    ]
+    updates = _planned_restarts(others, FIRST)
+    return steps, [
+        *updates,
+        Step(updates[-1].end + RESTART_INTERVAL_SECONDS, Fault.ROLLOUT, "", 1.0),
     ]
-    updates = _restarts(others, FIRST)
-    return steps, [*updates, Step(updates[-1].end + RESTART, Fault.ROLLOUT, "", 1.0)]
 
 
-def _restarts(names: Sequence[str], begin: float) -> list[Step]:
-    """Planned stops of daemons, one after the other."""
+def _planned_restarts(names: Sequence[str], begin: float) -> list[Step]:
+    """Stops of daemons, one after the other."""
     return [
-        Step(begin + RESTART * number, Fault.STOP, name, 1.0)
+        Step(begin + RESTART_INTERVAL_SECONDS * number, Fault.STOP, name, 1.0)
         for number, name in enumerate(names)
     ]
 
 
-def _place(
+def _make_step(
     rng: Random,
     fault: Fault,
     at: float,
-    length: float,
-    before: Sequence[Step],
+    duration: float,
+    earlier: Sequence[Step],
     instances: Sequence[str],
     zones: Sequence[str],
 ) -> Step | None:
-    """The step, where there is room for it now."""
-    running = [step for step in before if step.end > at]
-    taken = {step.where for step in running}
-    if fault in ON_INSTANCE:
-        free = [name for name in instances if name not in taken]
-        return Step(at, fault, rng.choice(free), length) if len(free) > 1 else None
+    """The step for a fault at `at`, or None if it conflicts with the faults active then."""
+    active = [step for step in earlier if step.end > at]
+    occupied = {step.where for step in active}
+    if fault in INSTANCE_FAULTS:
+        free = [name for name in instances if name not in occupied]
+        return Step(at, fault, rng.choice(free), duration) if len(free) > 1 else None
     if fault is Fault.ZONE_DRAIN:
-        if any(step.fault is fault for step in running):
+        if any(step.fault is fault for step in active):
             return None
-        return Step(at, fault, rng.choice(list(zones)), length)
-    if any(step.fault is fault for step in running):
+        return Step(at, fault, rng.choice(list(zones)), duration)
+    if any(step.fault is fault for step in active):
         return None
-    if fault in ON_PLATFORM and any(step.fault in ON_PLATFORM for step in running):
+    if fault in PLATFORM_FAULTS and any(step.fault in PLATFORM_FAULTS for step in active):
         return None
-    return Step(at, fault, "", length)
+    return Step(at, fault, "", duration)
--- a/soak/history.py
+++ b/soak/history.py
@@ -1,7 +1,7 @@
-"""What a soak has observed, and the promises that it breaks. Pure code.
+"""What a soak observed, and the check of the guarantees against it. This module does no I/O.
 
-The records of callers and backend servers are trusted. What daemons report counts only where
-the report itself is the promise, as with the version that a daemon reports to be in force.
+The records of callers and backend servers are trusted. Reports of daemons are used only where
+the guarantee is about the report itself, such as the configuration version a daemon reports.
 """
 
 from collections.abc import Sequence
@@ -13,34 +13,36 @@
 from standins.caller import Request
 from standins.verdict import judge
 
-# Seconds after the third end within which all daemons must know of the request that ended
-# servers, and how often it may run later than that: what the users' rules allow.
-KNOWN_SECONDS = 3.0
-ALLOWED_LATER = 3
+# Time after the third end within which all daemons must hold the request that ended the
+# servers, and how many runs of it are allowed after that. Both are requirements of the users.
+MAX_HOLD_DELAY_SECONDS = 3.0
+MAX_RUNS_AFTER_HOLD = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """The version that a daemon reported. `life` counts the daemon's restarts."""
+    """The configuration version that a daemon reported. `restarts` counts the daemon's restarts
+    until then.
+    """
 
     at: float
     instance: str
-    life: int
+    restarts: int
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class DrainedZone:
-    """A zone drain: all daemons reported it before `known`; it was restored at `end`."""
+    """A zone drain, from the time at which it must be effective until the zone is restored."""
 
     zone: str
-    known: float
-    end: float
+    effective_at: float
+    restored_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """A planned stop of a daemon: its exit code."""
+    """A planned stop of a daemon, and the exit code."""
 
     instance: str
     code: int
@@ -48,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """One run, and where and when it began."""
+    """One run of a request on a backend server, with its zone and start time."""
 
     run: Run
     zone: str
@@ -57,68 +59,72 @@
 
 @dataclass(slots=True)
 class History:
-    """All that one soak has observed. Times in seconds from its start."""
+    """Everything that one soak observed. Times are in seconds from its start."""
 
     requests: list[Request] = field(default_factory=list)
     ran: list[Ran] = field(default_factory=list)
     observations: list[Observation] = field(default_factory=list)
     drained_zones: list[DrainedZone] = field(default_factory=list)
     stopped: list[Stopped] = field(default_factory=list)
-    # When servers began to run the request that ends them, and when they ended.
+    # Start times of the runs of the fatal request, and the times at which servers ended.
     fatal_runs: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
-    last_answered: int = 0  # requests of the calm end that were answered
+    # Requests sent while no fault was active.
+    last_answered: int = 0
     last_sent: int = 0
 
 
 def broken_promises(history: History) -> list[str]:
-    """A sentence for each promise that the history breaks."""
-    broken = judge(history.requests, [ran.run for ran in history.ran]).broken
-    broken += _versions_that_went_back(history.observations)
-    broken += _runs_in_drained_zones(history)
-    broken += _sent_on_after_ends(history)
-    broken += [
-        f"{stop.instance} ended with {stop.code} after a planned stop"
+    """One sentence for each violated guarantee."""
+    violations = judge(history.requests, [ran.run for ran in history.ran]).broken
+    violations += _version_regressions(history.observations)
+    violations += _runs_in_drained_zones(history)
+    violations += _late_fatal_runs(history)
+    violations += [
+        f"{stop.instance} exited with code {stop.code} after a planned stop"
         for stop in history.stopped
         if stop.code != 0
     ]
     if history.last_answered < history.last_sent:
-        lost = history.last_sent - history.last_answered
-        broken.append(f"{lost} of {history.last_sent} not answered in the calm end")
-    return broken
+        unanswered = history.last_sent - history.last_answered
+        violations.append(
+            f"{unanswered} of {history.last_sent} requests not answered in the calm end"
+        )
+    return violations
 
 
-def _versions_that_went_back(observations: Sequence[Observation]) -> list[str]:
+def _version_regressions(observations: Sequence[Observation]) -> list[str]:
+    # By instance and number of restarts: a restarted daemon may start at an older version.
     highest: dict[tuple[str, int], int] = {}
-    broken = []
+    violations = []
     for one in sorted(observations, key=lambda one: one.at):
-        life = (one.instance, one.life)
-        if one.version < highest.get(life, 0):
-            broken.append(
-                f"{one.instance} went back from version {highest[life]} to {one.version}"
+        process = (one.instance, one.restarts)
+        if one.version < highest.get(process, 0):
+            violations.append(
+                f"{one.instance} went back from version {highest[process]} to {one.version}"
             )
-        highest[life] = max(highest.get(life, 0), one.version)
-    return broken
+        highest[process] = max(highest.get(process, 0), one.version)
+    return violations
 
 
-def _sent_on_after_ends(history: History) -> list[str]:
-    """A request under which three servers have ended must be known everywhere soon after."""
+def _late_fatal_runs(history: History) -> list[str]:
     if len(history.ends) < HOLD_AFTER_ENDS:
         return []
-    third = sorted(history.ends)[HOLD_AFTER_ENDS - 1]
-    later = [at for at in history.fatal_runs if at > third + KNOWN_SECONDS]
-    if len(later) <= ALLOWED_LATER:
+    last_end = sorted(history.ends)[HOLD_AFTER_ENDS - 1]
+    late = [at for at in history.fatal_runs if at > last_end + MAX_HOLD_DELAY_SECONDS]
+    if len(late) <= MAX_RUNS_AFTER_HOLD:
         return []
     return [
-        f"ran {len(later)} times more after {HOLD_AFTER_ENDS} servers had ended, at {later}"
+        f"the fatal request ran {len(late)} times more than {MAX_HOLD_DELAY_SECONDS:g} s after "
+        f"{HOLD_AFTER_ENDS} servers had ended, at {late}"
     ]
 
 
 def _runs_in_drained_zones(history: History) -> list[str]:
     return [
-        f"{ran.run.request_id} ran in {ran.zone} at {ran.at:.2f} s, emptied since "
-        f"{drain.known:.2f} s"
+        f"{ran.run.request_id} ran in zone {ran.zone} at {ran.at:.2f} s, emptied since "
+        f"{drain.effective_at:.2f} s"
         for drain in history.drained_zones
         for ran in history.ran
-        if ran.zone == drain.zone and drain.known < ran.at < drain.end
+        if ran.zone == drain.zone and drain.effective_at < ran.at < drain.restored_at
     ]
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -1,4 +1,4 @@
-"""Brings faults about in a cluster and takes them back; records what the daemons report."""
+"""Injects faults into a cluster, ends them, and records what the daemons report."""
 
 import asyncio
 import signal
@@ -19,12 +19,12 @@
 from standins.verdict import DRAIN_SECONDS
 
 SLOTS = 4
-SERVICE = 0.02  # seconds
-SLOW = 8.0  # times
-DELAY = 0.5  # seconds that a slow platform takes
-LOST = 3  # writes in a row whose answers are lost
-STATUS_SECONDS = 0.5  # that a status page gets to answer
-CALM_SECONDS = 60.0  # in which all must be well again when the faults are over
+SERVICE_TIME_SECONDS = 0.02
+SLOW_FACTOR = 8.0  # by which a slow server multiplies its service time
+PLATFORM_DELAY_SECONDS = 0.5
+LOST_WRITE_ANSWERS = 3  # consecutive writes without an answer
+STATUS_TIMEOUT_SECONDS = 0.5
+RECOVERY_TIMEOUT_SECONDS = 60.0  # for the recovery after the last fault
 
 BUNDLE = """
 [bundle]
@@ -49,35 +49,36 @@
 
 @dataclass(slots=True)
 class FaultInjector:
-    """Plays the steps of a course on one cluster."""
+    """Starts and ends the faults of a schedule in one cluster."""
 
     cluster: Cluster
-    desk: Desk
+    operators: Desk
     history: History
-    digest: str
-    began: float = field(default_factory=time.time)
-    version: int = 0
-    lives: dict[str, int] = field(default_factory=dict)
-    places: defaultdict[str, asyncio.Lock] = field(
+    credential_digest: str
+    started_at: float = field(default_factory=time.time)  # unix seconds
+    version: int = 0  # of the last bundle rolled out
+    restarts: dict[str, int] = field(default_factory=dict)  # of each daemon
+    # Serialize the faults of one instance or zone, and other faults of one type.
+    locks: defaultdict[str, asyncio.Lock] = field(
         default_factory=lambda: defaultdict(asyncio.Lock)
     )
 
     @property
     def now(self) -> float:
-        """Seconds since the soak began, by the clock that backend servers record runs with."""
-        return time.time() - self.began
+        """Seconds since the start of the soak, by the clock with which servers record runs."""
+        return time.time() - self.started_at
 
     async def prepare(self, plans: list[Plan]) -> None:
-        """Start everything with the first bundle in force."""
-        await self.desk.prepare(self.cluster.platform_address)
+        """Start all processes and roll out the first bundle."""
+        await self.operators.prepare(self.cluster.platform_address)
         await self.cluster.add(plans)
-        self.lives = dict.fromkeys(self.cluster.members, 0)
-        await self._release()
+        self.restarts = dict.fromkeys(self.cluster.members, 0)
+        await self._release_bundle()
         await self.cluster.wait_for_version(1)
         await self.cluster.wait_for_members(len(plans))
 
     async def begin(self, step: Step) -> None:
-        """Bring a fault about."""
+        """Start the fault of a step."""
         self._print(f"{step.fault} {step.where} for {step.seconds:.1f} s")
         member = self.cluster.members.get(step.where)
         match step.fault:
@@ -86,79 +87,82 @@
                 member.daemon.send(signal.SIGKILL)
             case Fault.STOP:
                 assert member is not None
-                await self._stop(member)
+                await self._stop_daemon(member)
             case Fault.FREEZE:
                 assert member is not None
                 member.daemon.send(signal.SIGSTOP)
             case Fault.SLOW_SERVER:
-                await self._behave(step.where, slow=SLOW)
+                await self._set_behaviour(step.where, slow=SLOW_FACTOR)
             case Fault.FAILING_SERVER:
-                await self._behave(step.where, fail_fast=True)
+                await self._set_behaviour(step.where, fail_fast=True)
             case Fault.DRAIN:
                 assert member is not None
-                await self._try(lambda: self._list(member, InstanceState.LEAVING))
+                await self._try_once(lambda: self._list_instance(member, InstanceState.LEAVING))
             case Fault.PLATFORM_DOWN:
                 await self.cluster.set_faults(Faults(down=True))
             case Fault.PLATFORM_SLOW:
-                await self.cluster.set_faults(Faults(delay=DELAY))
+                await self.cluster.set_faults(Faults(delay=PLATFORM_DELAY_SECONDS))
             case Fault.LOST_WRITES:
-                await self.cluster.set_faults(Faults(lose_write_answers=LOST))
+                await self.cluster.set_faults(Faults(lose_write_answers=LOST_WRITE_ANSWERS))
             case Fault.ROLLOUT:
-                await self._try(self._release)
+                await self._try_once(self._release_bundle)
             case Fault.ZONE_DRAIN:
                 await self._drain_zone(step)
             case Fault.SILENCE:
                 self.cluster.silence_connections()
 
     async def end(self, step: Step) -> None:
-        """Take a fault back."""
+        """End the fault of a step."""
         member = self.cluster.members.get(step.where)
         match step.fault:
             case Fault.KILL | Fault.STOP:
                 assert member is not None
-                await self._start_again(member)
+                await self._restart_daemon(member)
             case Fault.FREEZE:
                 assert member is not None
                 member.daemon.send(signal.SIGCONT)
             case Fault.SLOW_SERVER | Fault.FAILING_SERVER:
-                await self._behave(step.where)
+                await self._set_behaviour(step.where)
             case Fault.DRAIN:
                 assert member is not None
-                await self._stop(member)
-                await self._start_again(member)
+                await self._stop_daemon(member)
+                await self._restart_daemon(member)
             case Fault.PLATFORM_DOWN | Fault.PLATFORM_SLOW | Fault.LOST_WRITES:
                 await self.cluster.set_faults(Faults())
             case Fault.ZONE_DRAIN:
-                await self._restore(step.where)
+                await self._restore_zone(step.where)
 
-    def use_own_code(self) -> None:
-        """Let all daemons that start from now on run the code of this checkout."""
+    def use_this_checkout(self) -> None:
+        """Make all daemons run the code of this checkout from their next start."""
         for member in self.cluster.members.values():
             member.plan = replace(member.plan, checkout=None)
 
-    def _print(self, what: str) -> None:
-        print(f"{self.now:6.1f} s  {what}", flush=True)
+    def _print(self, message: str) -> None:
+        print(f"{self.now:6.1f} s  {message}", flush=True)
 
-    async def observe(self) -> None:
-        """Note the version that each daemon reports, of those that answer."""
+    async def record_versions(self) -> None:
+        """Record the version that each daemon reports, for daemons that answer."""
         for name in list(self.cluster.members):
-            life = self.lives[name]
+            restarts = self.restarts[name]
             at = self.now
             status = await self._status(name)
-            if status is not None and life == self.lives[name]:
-                version = _number(status["version"])
-                self.history.observations.append(Observation(at, name, life, version))
+            # A status read during a restart can't be attributed to either process.
+            if status is not None and restarts == self.restarts[name]:
+                version = _as_int(status["version"])
+                self.history.observations.append(Observation(at, name, restarts, version))
 
-    async def wait_until_calm(self) -> None:
-        """Wait until all faults and their effects are over."""
+    async def wait_until_recovered(self) -> None:
+        """Clear the platform's faults and wait until all daemons report a healthy cluster."""
         await self.cluster.set_faults(Faults())
         try:
-            await eventually(self._is_calm, CALM_SECONDS)
+            await eventually(self._is_recovered, RECOVERY_TIMEOUT_SECONDS)
         except TimeoutError as error:
             statuses = {name: await self._status(name) for name in self.cluster.members}
-            raise AssertionError(f"not calm in {CALM_SECONDS:.0f} s: {statuses}") from error
+            raise AssertionError(
+                f"cluster not recovered after {RECOVERY_TIMEOUT_SECONDS:.0f} s: {statuses}"
+            ) from error
 
-    async def _is_calm(self) -> bool:
+    async def _is_recovered(self) -> bool:
         statuses = [await self._status(name) for name in self.cluster.members]
         count = len(self.cluster.members)
         return all(
@@ -166,93 +170,106 @@
             and status["ready"]
             and status["members"] == count
             and status["emptied_zones"] == []
-            and _number(status["version"]) >= self.version
+            and _as_int(status["version"]) >= self.version
             for status in statuses
         )
 
     async def _status(self, name: str) -> dict[str, object] | None:
-        """A daemon's status; None if it gives none soon."""
+        """A daemon's status; None if it does not answer within the timeout."""
         try:
-            return await self.cluster.status(name, STATUS_SECONDS)
+            return await self.cluster.status(name, STATUS_TIMEOUT_SECONDS)
         except (aiohttp.ClientError, TimeoutError):
             return None
 
-    async def _behave(self, name: str, slow: float = 1.0, fail_fast: bool = False) -> None:
-        behaviour = Behaviour(SLOTS, SERVICE, slow=slow, fail_fast=fail_fast)
+    async def _set_behaviour(
+        self, name: str, slow: float = 1.0, fail_fast: bool = False
+    ) -> None:
+        behaviour = Behaviour(SLOTS, SERVICE_TIME_SECONDS, slow=slow, fail_fast=fail_fast)
         await self.cluster.set_behaviour(name, behaviour)
 
-    async def _stop(self, member: Member) -> None:
+    async def _stop_daemon(self, member: Member) -> None:
         code = await member.daemon.end()
         self.history.stopped.append(Stopped(member.plan.name, code))
 
-    async def _start_again(self, member: Member) -> None:
-        """Start a daemon anew at other ports, and list it as a new start of the instance."""
+    async def _restart_daemon(self, member: Member) -> None:
+        """Restart a daemon on other ports, and list it as a new start of the instance."""
         await self.cluster.restart_daemon(member)
-        self.lives[member.plan.name] += 1
-        await self._until_done(lambda: self._list(member, InstanceState.LIVE))
+        self.restarts[member.plan.name] += 1
+        await self._retry_until_done(lambda: self._list_instance(member, InstanceState.LIVE))
 
-    async def _list(self, member: Member, state: InstanceState) -> None:
-        """Write an instance into the list, from whatever version it stands at."""
+    async def _list_instance(self, member: Member, state: InstanceState) -> None:
+        """Write an instance to the platform's list over whichever version is stored there."""
         await self.cluster.read_listed_version(member)
         await self.cluster.list_instance(member, state)
 
-    async def _release(self) -> None:
+    async def _release_bundle(self) -> None:
         version = self.version + 1
-        await self.desk.release(version, BUNDLE.format(version=version, digest=self.digest))
+        await self.operators.release(
+            version, BUNDLE.format(version=version, digest=self.credential_digest)
+        )
         self.version = version
 
     async def _drain_zone(self, step: Step) -> None:
-        """Drain a zone. It counts as drained once all daemons report it."""
-        if not await self._try(lambda: self.desk.drain_zone(step.where)):
+        """Drain a zone. The drain is recorded only if all daemons report it in time."""
+        if not await self._try_once(lambda: self.operators.drain_zone(step.where)):
             return
         end = self.now + step.seconds
         while self.now < end:
-            if await self._all_know(step.where):
-                known = self.now + DRAIN_SECONDS
-                self.history.drained_zones.append(DrainedZone(step.where, known, known))
+            if await self._all_report_drain(step.where):
+                effective_at = self.now + DRAIN_SECONDS
+                # `_restore_zone` sets the end.
+                self.history.drained_zones.append(
+                    DrainedZone(step.where, effective_at, effective_at)
+                )
                 return
 
-    async def _all_know(self, zone: str) -> bool:
+    async def _all_report_drain(self, zone: str) -> bool:
         statuses = [await self._status(name) for name in self.cluster.members]
-        return all(s is not None and zone in _texts(s["emptied_zones"]) for s in statuses)
+        return all(s is not None and zone in _as_strings(s["emptied_zones"]) for s in statuses)
 
-    async def _restore(self, zone: str) -> None:
-        """Restore a zone, in as many tries as it takes; the promise ends with the first try."""
+    async def _restore_zone(self, zone: str) -> None:
+        """Restore a zone, with retries. The recorded drain ends before the first try, because
+        a try that fails may still have been applied.
+        """
         drains = self.history.drained_zones
-        if drains and drains[-1].zone == zone and drains[-1].end == drains[-1].known:
-            known = drains[-1].known
-            drains[-1] = DrainedZone(zone, known, max(known, self.now))
+        if (
+            drains
+            and drains[-1].zone == zone
+            and drains[-1].restored_at == drains[-1].effective_at
+        ):
+            effective_at = drains[-1].effective_at
+            drains[-1] = DrainedZone(zone, effective_at, max(effective_at, self.now))
 
         async def restore() -> None:
             try:
-                await self.desk.restore_zone(zone)
-            except CommandFailed as failed:
-                if "is not emptied" not in str(failed):
+                await self.operators.restore_zone(zone)
+            except CommandFailed as error:
+                if "is not emptied" not in str(error):
                     raise
 
-        await self._until_done(restore)
+        await self._retry_until_done(restore)
 
-    async def _try(self, command: Callable[[], Awaitable[object]]) -> bool:
-        """One try of what may fail while the platform is in trouble."""
+    async def _try_once(self, command: Callable[[], Awaitable[object]]) -> bool:
+        """Run a command that may fail during a platform fault. Returns whether it succeeded."""
         try:
             await command()
-        except (CommandFailed, AssertionError, aiohttp.ClientError, TimeoutError) as failed:
-            self._print(f"not done: {str(failed).splitlines()[0][:100]}")
+        except (CommandFailed, AssertionError, aiohttp.ClientError, TimeoutError) as error:
+            self._print(f"command failed: {str(error).splitlines()[0][:100]}")
             return False
         return True
 
-    async def _until_done(self, command: Callable[[], Awaitable[object]]) -> None:
-        async def done() -> bool:
-            return await self._try(command)
+    async def _retry_until_done(self, command: Callable[[], Awaitable[object]]) -> None:
+        async def is_done() -> bool:
+            return await self._try_once(command)
 
-        await eventually(done, 60.0)
+        await eventually(is_done, 60.0)  # seconds
 
 
-def _number(value: object) -> int:
+def _as_int(value: object) -> int:
     assert isinstance(value, int)
     return value
 
 
-def _texts(value: object) -> list[str]:
+def _as_strings(value: object) -> list[str]:
     assert isinstance(value, list)
     return [str(item) for item in value]
