--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration: the whole path as separate processes on loopback."""
+"""Demonstration: all parts of the system as separate processes on loopback."""
--- a/demo/demo.py
+++ b/demo/demo.py
@@ -1,6 +1,6 @@
-"""The demonstration: two deployments on loopback, traffic, failures, and a summary.
+"""Runs two deployments on loopback with traffic and faults, and prints a summary.
 
-Exit code 0 only if the promises to callers held.
+The exit code is 0 only if all guarantees to callers held.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
     ONCE_KINDS,
     bundle_text,
     credential,
-    plans,
+    make_plans,
 )
 from standins.backend import Record, Run
 from standins.caller import Caller, Request, make_key
@@ -37,36 +37,40 @@
 from standins.verdict import DRAIN_SECONDS, Verdict, judge
 
 TRAFFIC_SECONDS = 25.0
-CALLS_PER_SECOND = 20.0  # of each of the six calling workspaces
+CALLS_PER_SECOND = 20.0  # of each calling workspace
 SEED = 20261202
-KILLED = "papers-2"
-DRAINED = "tarifs-1"
-DRAINED_ZONE = "linz-c"  # an availability zone
-SECOND_BUNDLE = "\n[kind papers/preview]\nrepeatable = yes\n"
-MICROSECONDS = 1e6
-LONGEST_MICROSECONDS = 60_000_000
+KILLED_INSTANCE = "papers-2"
+DRAINED_INSTANCE = "tarifs-1"
+DRAINED_ZONE = "linz-c"
+SECOND_BUNDLE_SECTIONS = "\n[kind papers/preview]\nrepeatable = yes\n"
+MICROSECONDS_PER_SECOND = 1e6
+MAX_LATENCY_MICROSECONDS = 60_000_000
 
 
 @dataclass(slots=True)
-class Observed:
-    """What the run showed besides requests."""
+class Observations:
+    """What was observed during the run, other than the outcomes of requests."""
 
     rollout_seconds: list[float]
     records: dict[str, Record]
-    lost_records: list[str]
+    missing_records: list[str]
     exit_codes: list[int]
-    zone_drained: tuple[float, float] = (0.0, 0.0)  # from when to when, in unix seconds
-    lifetime: float = 0.0  # seconds from the daemons' start to the reading of the records
+    zone_drain: tuple[float, float] = (0.0, 0.0)  # start and end, in unix seconds
+    uptime_seconds: float = 0.0  # from the start of the daemons until the records were read
 
 
-async def traffic(
-    caller: Caller, services: list[str], cluster: Cluster, end: float, over: asyncio.Event
+async def send_traffic(
+    caller: Caller,
+    services: list[str],
+    cluster: Cluster,
+    end: float,
+    faults_done: asyncio.Event,
 ) -> None:
-    """Poisson traffic of one workspace over its deployment's services and all entries, until
-    `end` and until the troubles are over.
+    """Send Poisson traffic of one workspace to the services and entries of its deployment,
+    until `end` (in monotonic seconds) and until all faults are over.
     """
     tasks: set[asyncio.Task[Request]] = set()
-    while time.monotonic() < end or not over.is_set():
+    while time.monotonic() < end or not faults_done.is_set():
         await asyncio.sleep(caller.rng.expovariate(CALLS_PER_SECOND))
         service = caller.rng.choice(services)
         entries = [m for m in cluster.members.values() if m.plan.pool in services]
@@ -83,97 +87,103 @@
     await asyncio.gather(*tasks)
 
 
-async def trouble(
-    cluster: Cluster, desk: Desk, observed: Observed, over: asyncio.Event
+async def inject_faults(
+    cluster: Cluster, operators: Desk, observations: Observations, faults_done: asyncio.Event
 ) -> None:
-    """A backend server with its daemon is killed, another drains, a bundle is rolled out, and a
-    zone is drained and restored.
+    """Kill a backend server with its daemon, drain an instance, roll out a bundle, then drain
+    and restore a zone.
     """
-    part = TRAFFIC_SECONDS / 6
-    await asyncio.sleep(part)
-    print(f"killing {KILLED} and its daemon", flush=True)
-    killed = cluster.members[KILLED]
-    observed.records[KILLED] = await cluster.record(KILLED)
-    killed.backend.send(signal.SIGKILL)
-    killed.daemon.send(signal.SIGKILL)
-    await asyncio.sleep(part)
-    await cluster.unlist(killed)
-    print(f"draining {DRAINED}", flush=True)
-    await cluster.list_instance(cluster.members[DRAINED], InstanceState.LEAVING)
-    await asyncio.sleep(part)
+    interval = TRAFFIC_SECONDS / 6
+    await asyncio.sleep(interval)
+    print(f"killing {KILLED_INSTANCE} and its daemon", flush=True)
+    killed_member = cluster.members[KILLED_INSTANCE]
+    observations.records[KILLED_INSTANCE] = await cluster.record(KILLED_INSTANCE)
+    killed_member.backend.send(signal.SIGKILL)
+    killed_member.daemon.send(signal.SIGKILL)
+    await asyncio.sleep(interval)
+    await cluster.unlist(killed_member)
+    print(f"draining {DRAINED_INSTANCE}", flush=True)
+    await cluster.list_instance(cluster.members[DRAINED_INSTANCE], InstanceState.LEAVING)
+    await asyncio.sleep(interval)
     print("rolling out the second bundle", flush=True)
-    await roll_out(cluster, desk, 2, observed)
-    await asyncio.sleep(part / 2)
-    await drain_zone(cluster, desk, part, observed)
-    over.set()
+    await roll_out(cluster, operators, 2, observations)
+    await asyncio.sleep(interval / 2)
+    await drain_zone(cluster, operators, interval, observations)
+    faults_done.set()
 
 
-async def drain_zone(cluster: Cluster, desk: Desk, seconds: float, observed: Observed) -> None:
-    """An operator drains a zone for a while, under load."""
+async def drain_zone(
+    cluster: Cluster, operators: Desk, seconds: float, observations: Observations
+) -> None:
+    """Drain a zone for `seconds` under load, then restore it."""
     print(f"draining zone {DRAINED_ZONE}", flush=True)
-    await desk.drain_zone(DRAINED_ZONE)
+    await operators.drain_zone(DRAINED_ZONE)
     await cluster.wait_for_drained_zones(DRAINED_ZONE)
-    began = time.time() + DRAIN_SECONDS
+    start = time.time() + DRAIN_SECONDS
     await asyncio.sleep(seconds)
-    observed.zone_drained = (began, time.time())
-    await desk.restore_zone(DRAINED_ZONE)
+    observations.zone_drain = (start, time.time())
+    await operators.restore_zone(DRAINED_ZONE)
     await cluster.wait_for_drained_zones()
     print(f"zone {DRAINED_ZONE} is restored", flush=True)
 
 
-def runs_in_drained_zone(observed: Observed) -> int:
-    """Count the requests that ran in the zone while it was drained."""
-    began, ended = observed.zone_drained
-    servers = [plan.name for plan in plans() if plan.zone == DRAINED_ZONE]
-    runs = [run for name in servers for run in observed.records[name].runs]
-    return sum(began < run.at < ended for run in runs)
+def count_runs_in_drained_zone(observations: Observations) -> int:
+    start, end = observations.zone_drain
+    servers = [plan.name for plan in make_plans() if plan.zone == DRAINED_ZONE]
+    runs = [run for name in servers for run in observations.records[name].runs]
+    return sum(start < run.at < end for run in runs)
 
 
-async def roll_out(cluster: Cluster, desk: Desk, version: int, observed: Observed) -> None:
-    """Release a bundle, and time from its release until it is in force everywhere."""
-    text = bundle_text(version, SECOND_BUNDLE if version > 1 else "")
-    await desk.release(version, text)
-    released = time.monotonic()
+async def roll_out(
+    cluster: Cluster, operators: Desk, version: int, observations: Observations
+) -> None:
+    """Release a bundle, and measure the time until all daemons report it in force."""
+    text = bundle_text(version, SECOND_BUNDLE_SECTIONS if version > 1 else "")
+    await operators.release(version, text)
+    released_at = time.monotonic()
     await cluster.wait_for_version(version)
-    observed.rollout_seconds.append(time.monotonic() - released)
+    observations.rollout_seconds.append(time.monotonic() - released_at)
 
 
-async def run(folder: Path) -> tuple[list[Request], Observed]:
-    """Start everything, run the traffic and the troubles, stop everything."""
+async def run_demo(folder: Path) -> tuple[list[Request], Observations]:
+    """Start all processes, send traffic while faults are injected, and stop all processes."""
     cluster = Cluster(folder)
-    observed = Observed([], {}, [], [])
+    observations = Observations([], {}, [], [])
     await cluster.open()
     try:
-        desk = Desk(folder)
-        await desk.prepare(cluster.platform_address)
-        started = time.monotonic()
-        await cluster.add(plans())
+        operators = Desk(folder)
+        await operators.prepare(cluster.platform_address)
+        started_at = time.monotonic()
+        await cluster.add(make_plans())
         print(f"{len(cluster.members)} backend servers with their daemons are up", flush=True)
-        await roll_out(cluster, desk, 1, observed)
+        await roll_out(cluster, operators, 1, observations)
         await cluster.wait_for_members(len(cluster.members))
-        print(f"ready after {time.monotonic() - started:.1f} s", flush=True)
-        # Owners of keys take over only when the leases of former owners have run out.
+        print(f"ready after {time.monotonic() - started_at:.1f} s", flush=True)
+        # New owners of keys take over only after the leases of former owners have expired.
         await asyncio.sleep(
             OWNER_LEASE_SECONDS + DAEMON_CLOCK_SKEW_SECONDS + CALLER_CLOCK_SKEW_SECONDS
         )
         print("traffic starts", flush=True)
         callers = make_callers(cluster)
         end = time.monotonic() + TRAFFIC_SECONDS
-        over = asyncio.Event()
+        faults_done = asyncio.Event()
         await asyncio.gather(
-            *(traffic(caller, services, cluster, end, over) for caller, services in callers),
-            trouble(cluster, desk, observed, over),
+            *(
+                send_traffic(caller, services, cluster, end, faults_done)
+                for caller, services in callers
+            ),
+            inject_faults(cluster, operators, observations, faults_done),
         )
-        await collect(cluster, observed)
-        observed.lifetime = time.monotonic() - started
-        requests = [one for caller, _ in callers for one in caller.requests]
+        await collect_records(cluster, observations)
+        observations.uptime_seconds = time.monotonic() - started_at
+        requests = [request for caller, _ in callers for request in caller.requests]
     finally:
-        observed.exit_codes = await cluster.close()
-    return requests, observed
+        observations.exit_codes = await cluster.close()
+    return requests, observations
 
 
 def make_callers(cluster: Cluster) -> list[tuple[Caller, list[str]]]:
-    """The six calling workspaces with the services that they call."""
+    """A caller for each calling workspace, with the services that it calls."""
     at_east = [(name, list(AT_EAST)) for name in AT_EAST_CALLERS]
     dss = [(name, list(DSS)) for name in DSS_CALLERS]
     return [
@@ -182,43 +192,44 @@
     ]
 
 
-async def collect(cluster: Cluster, observed: Observed) -> None:
-    """Read what each backend server ran; a killed one's record is from before its end."""
+async def collect_records(cluster: Cluster, observations: Observations) -> None:
+    """Read the records of the backend servers. The killed server keeps its earlier record."""
     for name in cluster.members:
         try:
-            observed.records[name] = await cluster.record(name)
+            observations.records[name] = await cluster.record(name)
         except aiohttp.ClientError:
-            observed.lost_records.append(name)
+            observations.missing_records.append(name)
 
 
-def report(requests: list[Request], observed: Observed) -> Verdict:
-    """Print the summary; returns the verdict."""
-    runs: list[Run] = [run for record in observed.records.values() for run in record.runs]
-    lost = set(observed.lost_records)
+def report(requests: list[Request], observations: Observations) -> Verdict:
+    """Print the summary and return the verdict."""
+    runs: list[Run] = [run for record in observations.records.values() for run in record.runs]
+    missing = set(observations.missing_records)
     verdict = judge(requests, runs)
-    if lost:
-        # What a killed server ran after its record was read can't be known.
+    if missing:
+        # Runs of the killed server after its record was read are unknown.
         verdict.not_run_though_answered.clear()
     table = Table(title="wheatslip demonstration")
-    table.add_column("what")
-    table.add_column("figure", justify="right")
-    for what, figure in summary(requests, observed, verdict):
-        table.add_row(what, figure)
+    table.add_column("measure")
+    table.add_column("value", justify="right")
+    for measure, value in summary_rows(requests, observations, verdict):
+        table.add_row(measure, value)
     Console(width=100).print(table)
-    for sentence in verdict.broken:
-        print(f"BROKEN: {sentence}")
+    for violation in verdict.broken:
+        print(f"VIOLATED: {violation}")
     return verdict
 
 
-def summary(
-    requests: list[Request], observed: Observed, verdict: Verdict
+def summary_rows(
+    requests: list[Request], observations: Observations, verdict: Verdict
 ) -> list[tuple[str, str]]:
-    """The rows of the summary."""
-    histogram = HdrHistogram(1, LONGEST_MICROSECONDS, 3)
-    for one in requests:
-        histogram.record_value(max(1, int(one.took * MICROSECONDS)))
-    probes = [record.probes / observed.lifetime for record in observed.records.values()]
-    reasons = sorted({one.reason for one in requests if one.reason})
+    histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, 3)
+    for request in requests:
+        histogram.record_value(max(1, int(request.took * MICROSECONDS_PER_SECOND)))
+    probe_rates = [
+        record.probes / observations.uptime_seconds for record in observations.records.values()
+    ]
+    reasons = sorted({request.reason for request in requests if request.reason})
     return [
         ("requests", str(verdict.requests)),
         ("answered", str(verdict.answered)),
@@ -227,43 +238,50 @@
         ("reasons", ", ".join(reasons) or "-"),
         ("run twice (must be 0)", str(len(verdict.ran_twice))),
         (
-            "run though told not (must be 0)",
+            "run though reported as not run (must be 0)",
             str(len(verdict.ran_though_reported_not_run)),
         ),
         ("wrong answers (must be 0)", str(len(verdict.wrong_answers))),
-        (f"run in drained {DRAINED_ZONE} (must be 0)", str(runs_in_drained_zone(observed))),
-        ("p50 / p99 at the caller, ms", _percentiles(histogram)),
-        ("rollout to in force everywhere, s", _seconds(observed.rollout_seconds)),
-        ("probes a second at a backend server, most", f"{max(probes):.2f}"),
-        ("daemons that stopped cleanly", str(observed.exit_codes.count(0))),
+        (
+            f"run in drained zone {DRAINED_ZONE} (must be 0)",
+            str(count_runs_in_drained_zone(observations)),
+        ),
+        ("p50 / p99 latency at the caller, ms", _format_percentiles(histogram)),
+        (
+            "rollout until in force at all daemons, s",
+            _format_seconds(observations.rollout_seconds),
+        ),
+        ("maximum probes per second at a backend server", f"{max(probe_rates):.2f}"),
+        ("daemons that stopped with exit code 0", str(observations.exit_codes.count(0))),
     ]
 
 
-def _percentiles(histogram: HdrHistogram) -> str:
-    median = histogram.get_value_at_percentile(50) / 1000
-    high = histogram.get_value_at_percentile(99) / 1000
-    return f"{median:.1f} / {high:.1f}"
+def _format_percentiles(histogram: HdrHistogram) -> str:
+    p50 = histogram.get_value_at_percentile(50) / 1000
+    p99 = histogram.get_value_at_percentile(99) / 1000
+    return f"{p50:.1f} / {p99:.1f}"
 
 
-def _seconds(values: list[float]) -> str:
+def _format_seconds(values: list[float]) -> str:
     return ", ".join(f"{value:.2f}" for value in values)
 
 
 def main() -> int:
-    """Run the demonstration; returns the exit code."""
+    """Run the demonstration and return the exit code."""
     with tempfile.TemporaryDirectory() as folder:
-        requests, observed = asyncio.run(run(Path(folder)))
-    verdict = report(requests, observed)
-    stopped_well = observed.exit_codes.count(0) == len(observed.exit_codes) - 1
-    if not stopped_well:
-        print(f"BROKEN: exit codes of the daemons: {observed.exit_codes}")
-    in_drained = runs_in_drained_zone(observed)
-    if in_drained or not any(observed.zone_drained):
-        print(f"BROKEN: {in_drained} requests ran in the drained zone")
+        requests, observations = asyncio.run(run_demo(Path(folder)))
+    verdict = report(requests, observations)
+    # The killed daemon is the only one that does not exit with 0.
+    stopped_cleanly = observations.exit_codes.count(0) == len(observations.exit_codes) - 1
+    if not stopped_cleanly:
+        print(f"VIOLATED: exit codes of the daemons: {observations.exit_codes}")
+    runs_in_drained = count_runs_in_drained_zone(observations)
+    if runs_in_drained or not any(observations.zone_drain):
+        print(f"VIOLATED: {runs_in_drained} requests ran in the drained zone")
         return 1
-    if verdict.broken or not stopped_well or not verdict.answered:
+    if verdict.broken or not stopped_cleanly or not verdict.answered:
         return 1
-    print("all promises held")
+    print("all guarantees held")
     return 0
 
 
--- a/demo/deployments.py
+++ b/demo/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the demonstration, and the bundle that configures them."""
+"""The two deployments of the demonstration, and their configuration bundle."""
 
 from wheatslip.config.bundle import credential_digest
 
@@ -6,12 +6,13 @@
 
 AT_EAST_ZONES = ("wien-a", "wien-b", "linz-c")
 DSS_ZONES = ("parc-p1", "parc-p2", "salle-tech")
+# Number of backend servers by service.
 AT_EAST = {"papers": 4, "sittings": 3, "certs": 3, "results": 3}
 DSS = {"tarifs": 4, "barrieres": 3, "caisse": 3, "occupation": 3}
 AT_EAST_CALLERS = ("haus-alt", "haus-neu", "haus-west")
 DSS_CALLERS = ("motorists", "taxis", "airlines")
-OWNERS = ("pruefwerk", "aibd-parking")
-# Services whose main request may not be repeated, with the kind's name.
+SERVICE_OWNERS = ("pruefwerk", "aibd-parking")
+# Request kinds that must run at most once, by service.
 ONCE_KINDS = {
     "sittings": "submit-answer",
     "certs": "issue",
@@ -20,21 +21,20 @@
 }
 
 
-def plans() -> list[Plan]:
-    """The 26 backend servers of today's sizes."""
+def make_plans() -> list[Plan]:
+    """The backend servers of both deployments."""
     at_east = _pool_plans(AT_EAST, AT_EAST_ZONES, 12)
     return at_east + _pool_plans(DSS, DSS_ZONES, 6)
 
 
 def credential(workspace: str) -> str:
-    """The demonstration's credential of a workspace."""
     return f"demo-{workspace}"
 
 
 def bundle_text(version: int, extra: str = "") -> str:
-    """The bundle as INI."""
+    """The bundle in INI format. `extra` holds more sections."""
     sections = [f"[bundle]\nversion = {version}\n"]
-    for workspace in (*OWNERS, *AT_EAST_CALLERS, *DSS_CALLERS):
+    for workspace in (*SERVICE_OWNERS, *AT_EAST_CALLERS, *DSS_CALLERS):
         digest = credential_digest(credential(workspace))
         sections.append(f"[workspace {workspace}]\ncredential-sha256 = {digest}\n")
     sections += _service_sections(AT_EAST, "pruefwerk", AT_EAST_CALLERS, 12)
