--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,9 +12,9 @@
 
 from wheatslip.config.bundle import credential_digest
 
-from soak.course import Step, beside_other_version, draw
 from soak.history import History, Ran, broken_promises
 from soak.injector import SERVICE_TIME_SECONDS, SLOTS, FaultInjector
+from soak.schedule import Step, beside_other_version, draw
 from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
 from standins.operators import Desk
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -10,8 +10,8 @@
 import aiohttp
 from wheatslip.store.instances import InstanceState
 
-from soak.course import Fault, Step
 from soak.history import DrainedZone, History, Observation, Stopped
+from soak.schedule import Fault, Step
 from standins.backend import Behaviour
 from standins.cluster import Cluster, Member, Plan, eventually
 from standins.operators import CommandFailed, Desk
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -5,8 +5,8 @@
 import pytest
 
 from soak.__main__ import make_plans, soak
-from soak.course import FIRST, LAST, Fault, beside_other_version, draw
 from soak.history import DrainedZone, History, Observation, Ran, Stopped, broken_promises
+from soak.schedule import FIRST, LAST, Fault, beside_other_version, draw
 from standins.backend import Run
 from standins.caller import Reported, Request
 from standins.cluster import python_path
