--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from random import Random
 
-FIRST = 2.0  # seconds before the first fault
+INITIAL_CALM_SECONDS = 2.0  # seconds before the first fault
 LAST = 6.0  # seconds after the last fault, in which the cluster must recover
 MEAN_FAULT_INTERVAL_SECONDS = 1.5  # between the starts of two faults
 MIN_FAULT_SECONDS = 0.5
@@ -78,7 +78,7 @@
     rng = Random(f"soak {seed}")
     candidates = [fault for fault in Fault if fault not in SEPARATELY_DRAWN_FAULTS]
     steps: list[Step] = []
-    at = FIRST
+    at = INITIAL_CALM_SECONDS
     while at < seconds - LAST - MIN_FAULT_SECONDS:
         fault = rng.choice(candidates)
         duration = min(rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS), seconds - LAST - at)
@@ -92,7 +92,7 @@
 def _draw_silences(seed: int, seconds: float) -> list[Step]:
     rng = Random(f"soak silences {seed}")
     steps: list[Step] = []
-    at = FIRST + rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
+    at = INITIAL_CALM_SECONDS + rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
     while at < seconds - LAST:
         steps.append(Step(at, Fault.SILENCE, "", 0.0))
         at += rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
@@ -121,7 +121,7 @@
             4.0,
         ),
     ]
-    updates = _planned_restarts(others, FIRST)
+    updates = _planned_restarts(others, INITIAL_CALM_SECONDS)
     return steps, [
         *updates,
         Step(updates[-1].end + RESTART_INTERVAL_SECONDS, Fault.ROLLOUT, "", 1.0),
