--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -10,7 +10,7 @@
 from random import Random
 
 INITIAL_CALM_SECONDS = 2.0  # seconds before the first fault
-LAST = 6.0  # seconds after the last fault, in which the cluster must recover
+FINAL_CALM_SECONDS = 6.0  # seconds after the last fault, in which the cluster must recover
 MEAN_FAULT_INTERVAL_SECONDS = 1.5  # between the starts of two faults
 MIN_FAULT_SECONDS = 0.5
 MAX_FAULT_SECONDS = 4.0
@@ -79,9 +79,11 @@
     candidates = [fault for fault in Fault if fault not in SEPARATELY_DRAWN_FAULTS]
     steps: list[Step] = []
     at = INITIAL_CALM_SECONDS
-    while at < seconds - LAST - MIN_FAULT_SECONDS:
+    while at < seconds - FINAL_CALM_SECONDS - MIN_FAULT_SECONDS:
         fault = rng.choice(candidates)
-        duration = min(rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS), seconds - LAST - at)
+        duration = min(
+            rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS), seconds - FINAL_CALM_SECONDS - at
+        )
         step = _make_step(rng, fault, at, duration, steps, instances, zones)
         if step is not None:
             steps.append(step)
@@ -93,7 +95,7 @@
     rng = Random(f"soak silences {seed}")
     steps: list[Step] = []
     at = INITIAL_CALM_SECONDS + rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
-    while at < seconds - LAST:
+    while at < seconds - FINAL_CALM_SECONDS:
         steps.append(Step(at, Fault.SILENCE, "", 0.0))
         at += rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
     return steps
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -6,7 +6,13 @@
 
 from soak.__main__ import make_plans, soak
 from soak.history import DrainedZone, History, Observation, Ran, Stopped, broken_promises
-from soak.schedule import INITIAL_CALM_SECONDS, LAST, Fault, beside_other_version, draw
+from soak.schedule import (
+    FINAL_CALM_SECONDS,
+    INITIAL_CALM_SECONDS,
+    Fault,
+    beside_other_version,
+    draw,
+)
 from standins.backend import Run
 from standins.caller import Reported, Request
 from standins.cluster import python_path
@@ -46,7 +52,7 @@
         places = [s.where for s in at_once if s.where]
         assert len(places) == len(set(places))
         assert len([place for place in places if place in INSTANCES]) < len(INSTANCES)
-        assert step.at >= INITIAL_CALM_SECONDS and step.end <= 40.0 - LAST + 1e-9
+        assert step.at >= INITIAL_CALM_SECONDS and step.end <= 40.0 - FINAL_CALM_SECONDS + 1e-9
 
 
 def test_half_of_the_daemons_run_the_other_version_until_they_are_updated(tmp_path):
