--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 
 from soak.history import History, Ran, broken_promises
 from soak.injector import SERVICE_TIME_SECONDS, SLOTS, FaultInjector
-from soak.schedule import Step, beside_other_version, draw
+from soak.schedule import Step, beside_other_version, draw_schedule
 from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
 from standins.operators import Desk
@@ -101,7 +101,7 @@
     own = [plan.name for plan in plans if plan.checkout is None]
     if others:
         return beside_other_version(others, own, ZONES)
-    return draw(seed, seconds, own, ZONES), []
+    return draw_schedule(seed, seconds, own, ZONES), []
 
 
 async def _run_steps(injector: FaultInjector, steps: list[Step]) -> None:
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -67,7 +67,7 @@
         return self.at + self.seconds
 
 
-def draw(
+def draw_schedule(
     seed: int, seconds: float, instances: Sequence[str], zones: Sequence[str]
 ) -> list[Step]:
     """The steps of a soak that lasts `seconds`.
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -11,7 +11,7 @@
     INITIAL_CALM_SECONDS,
     Fault,
     beside_other_version,
-    draw,
+    draw_schedule,
 )
 from standins.backend import Run
 from standins.caller import Reported, Request
@@ -30,14 +30,14 @@
 
 
 def test_a_seed_decides_the_course():
-    assert draw(7, 60.0, INSTANCES, ZONES) == draw(7, 60.0, INSTANCES, ZONES)
-    assert draw(7, 60.0, INSTANCES, ZONES) != draw(8, 60.0, INSTANCES, ZONES)
+    assert draw_schedule(7, 60.0, INSTANCES, ZONES) == draw_schedule(7, 60.0, INSTANCES, ZONES)
+    assert draw_schedule(7, 60.0, INSTANCES, ZONES) != draw_schedule(8, 60.0, INSTANCES, ZONES)
 
 
 def test_every_fault_comes_and_faults_overlap():
-    steps = [step for seed in range(20) for step in draw(seed, 60.0, INSTANCES, ZONES)]
+    steps = [step for seed in range(20) for step in draw_schedule(seed, 60.0, INSTANCES, ZONES)]
     assert {step.fault for step in steps} == set(Fault)
-    course = draw(1, 60.0, INSTANCES, ZONES)
+    course = draw_schedule(1, 60.0, INSTANCES, ZONES)
     overlaps = sum(
         one.at < other.at < one.end for one in course for other in course if other is not one
     )
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_a_course_leaves_an_instance_alone_and_a_calm_end(seed):
-    steps = draw(seed, 40.0, INSTANCES, ZONES)
+    steps = draw_schedule(seed, 40.0, INSTANCES, ZONES)
     for step in steps:
         at_once = [s for s in steps if s.at <= step.at < s.end]
         places = [s.where for s in at_once if s.where]
