--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 
 from soak.history import History, Ran, broken_promises
 from soak.injector import SERVICE_TIME_SECONDS, SLOTS, FaultInjector
-from soak.schedule import Step, beside_other_version, draw_schedule
+from soak.schedule import Step, draw_schedule, mixed_version_schedule
 from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
 from standins.operators import Desk
@@ -100,7 +100,7 @@
     others = [plan.name for plan in plans if plan.checkout is not None]
     own = [plan.name for plan in plans if plan.checkout is None]
     if others:
-        return beside_other_version(others, own, ZONES)
+        return mixed_version_schedule(others, own, ZONES)
     return draw_schedule(seed, seconds, own, ZONES), []
 
 
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -101,7 +101,7 @@
     return steps
 
 
-def beside_other_version(
+def mixed_version_schedule(
     others: Sequence[str], own: Sequence[str], zones: Sequence[str]
 ) -> tuple[list[Step], list[Step]]:
     """The fixed schedule for a fleet in which the daemons `others` run the code of another
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -10,8 +10,8 @@
     FINAL_CALM_SECONDS,
     INITIAL_CALM_SECONDS,
     Fault,
-    beside_other_version,
     draw_schedule,
+    mixed_version_schedule,
 )
 from standins.backend import Run
 from standins.caller import Reported, Request
@@ -63,7 +63,7 @@
     assert len(others) == len(own)
     for zone in ZONES:
         assert len({plan.checkout for plan in plans if plan.zone == zone}) == 2
-    steps, updates = beside_other_version(others, own, ZONES)
+    steps, updates = mixed_version_schedule(others, own, ZONES)
     where = {fault: {step.where for step in steps if step.fault is fault} for fault in Fault}
     assert where[Fault.STOP] == {*others, *own} and where[Fault.ZONE_DRAIN] == set(ZONES)
     assert where[Fault.DRAIN] & set(others) and where[Fault.DRAIN] & set(own)
