--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,7 +12,7 @@
 
 from wheatslip.config.bundle import credential_digest
 
-from soak.history import History, Ran, broken_promises
+from soak.history import History, TimedRun, broken_promises
 from soak.injector import SERVICE_TIME_SECONDS, SLOTS, FaultInjector
 from soak.schedule import Step, draw_schedule, mixed_version_schedule
 from standins.caller import Caller, Reported
@@ -172,7 +172,9 @@
     for name, member in injector.cluster.members.items():
         record = await injector.cluster.record(name)
         zone = member.plan.zone
-        history.ran += [Ran(run, zone, run.at - injector.started_at) for run in record.runs]
+        history.ran += [
+            TimedRun(run, zone, run.at - injector.started_at) for run in record.runs
+        ]
         history.fatal_runs += [at - injector.started_at for at in record.fatal_runs]
         history.ends += [at - injector.started_at for at in record.ends]
 
--- a/soak/history.py
+++ b/soak/history.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class TimedRun:
     """One run of a request on a backend server, with its zone and start time."""
 
     run: Run
@@ -62,7 +62,7 @@
     """Everything that one soak observed. Times are in seconds from its start."""
 
     requests: list[Request] = field(default_factory=list)
-    ran: list[Ran] = field(default_factory=list)
+    ran: list[TimedRun] = field(default_factory=list)
     observations: list[Observation] = field(default_factory=list)
     drained_zones: list[DrainedZone] = field(default_factory=list)
     stopped: list[Stopped] = field(default_factory=list)
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -5,7 +5,7 @@
 import pytest
 
 from soak.__main__ import make_plans, soak
-from soak.history import DrainedZone, History, Observation, Ran, Stopped, broken_promises
+from soak.history import DrainedZone, History, Observation, Stopped, TimedRun, broken_promises
 from soak.schedule import (
     FINAL_CALM_SECONDS,
     INITIAL_CALM_SECONDS,
@@ -26,7 +26,7 @@
 
 
 def ran(request_id="r", zone="one", at=1.0):
-    return Ran(Run(request_id, ""), zone, at)
+    return TimedRun(Run(request_id, ""), zone, at)
 
 
 def test_a_seed_decides_the_course():
