--- a/soak/history.py
+++ b/soak/history.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
+class PlannedStop:
     """A planned stop of a daemon, and the exit code."""
 
     instance: str
@@ -65,7 +65,7 @@
     ran: list[TimedRun] = field(default_factory=list)
     observations: list[Observation] = field(default_factory=list)
     drained_zones: list[DrainedZone] = field(default_factory=list)
-    stopped: list[Stopped] = field(default_factory=list)
+    stopped: list[PlannedStop] = field(default_factory=list)
     # Start times of the runs of the fatal request, and the times at which servers ended.
     fatal_runs: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -10,7 +10,7 @@
 import aiohttp
 from wheatslip.store.instances import InstanceState
 
-from soak.history import DrainedZone, History, Observation, Stopped
+from soak.history import DrainedZone, History, Observation, PlannedStop
 from soak.schedule import Fault, Step
 from standins.backend import Behaviour
 from standins.cluster import Cluster, Member, Plan, eventually
@@ -189,7 +189,7 @@
 
     async def _stop_daemon(self, member: Member) -> None:
         code = await member.daemon.end()
-        self.history.stopped.append(Stopped(member.plan.name, code))
+        self.history.stopped.append(PlannedStop(member.plan.name, code))
 
     async def _restart_daemon(self, member: Member) -> None:
         """Restart a daemon on other ports, and list it as a new start of the instance."""
