--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -201,7 +201,7 @@
     print(
         f"seed {options.seed}: {len(outcomes)} requests ({counts}), "
         f"{len(history.observations)} observations, {len(history.drained_zones)} zone drains, "
-        f"{len(history.stopped)} planned stops, {len(history.ends)} ends of servers"
+        f"{len(history.planned_stops)} planned stops, {len(history.ends)} ends of servers"
     )
     violations = broken_promises(history)
     for violation in violations:
--- a/soak/history.py
+++ b/soak/history.py
@@ -65,7 +65,7 @@
     ran: list[TimedRun] = field(default_factory=list)
     observations: list[Observation] = field(default_factory=list)
     drained_zones: list[DrainedZone] = field(default_factory=list)
-    stopped: list[PlannedStop] = field(default_factory=list)
+    planned_stops: list[PlannedStop] = field(default_factory=list)
     # Start times of the runs of the fatal request, and the times at which servers ended.
     fatal_runs: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
@@ -82,7 +82,7 @@
     violations += _late_fatal_runs(history)
     violations += [
         f"{stop.instance} exited with code {stop.code} after a planned stop"
-        for stop in history.stopped
+        for stop in history.planned_stops
         if stop.code != 0
     ]
     if history.last_answered < history.last_sent:
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -189,7 +189,7 @@
 
     async def _stop_daemon(self, member: Member) -> None:
         code = await member.daemon.end()
-        self.history.stopped.append(PlannedStop(member.plan.name, code))
+        self.history.planned_stops.append(PlannedStop(member.plan.name, code))
 
     async def _restart_daemon(self, member: Member) -> None:
         """Restart a daemon on other ports, and list it as a new start of the instance."""
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -93,7 +93,7 @@
             Observation(3.0, "a", 1, 1),
         ],
         drained_zones=[DrainedZone("one", 2.0, 3.0)],
-        stopped=[PlannedStop("a", 0)],
+        planned_stops=[PlannedStop("a", 0)],
         last_answered=3,
         last_sent=3,
     )
@@ -111,7 +111,7 @@
     "emptied since": History(
         requests=[request()], ran=[ran(at=2.5)], drained_zones=[DrainedZone("one", 2.0, 3.0)]
     ),
-    "after a planned stop": History(stopped=[PlannedStop("a", 1)]),
+    "after a planned stop": History(planned_stops=[PlannedStop("a", 1)]),
     "servers had ended": History(ends=[1.0, 2.0, 3.0], fatal_runs=[1.0, 6.1, 6.2, 6.3, 6.4]),
     "in the calm end": History(last_answered=2, last_sent=3),
 }
