--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,7 +12,7 @@
 
 from wheatslip.config.bundle import credential_digest
 
-from soak.history import History, TimedRun, broken_promises
+from soak.history import History, TimedRun, find_violations
 from soak.injector import SERVICE_TIME_SECONDS, SLOTS, FaultInjector
 from soak.schedule import Step, draw_schedule, mixed_version_schedule
 from standins.caller import Caller, Reported
@@ -203,7 +203,7 @@
         f"{len(history.observations)} observations, {len(history.drained_zones)} zone drains, "
         f"{len(history.planned_stops)} planned stops, {len(history.ends)} ends of servers"
     )
-    violations = broken_promises(history)
+    violations = find_violations(history)
     for violation in violations:
         print(f"VIOLATED: {violation}")
         for request in history.requests:
--- a/soak/history.py
+++ b/soak/history.py
@@ -74,7 +74,7 @@
     last_sent: int = 0
 
 
-def broken_promises(history: History) -> list[str]:
+def find_violations(history: History) -> list[str]:
     """One sentence for each violated guarantee."""
     violations = judge(history.requests, [ran.run for ran in history.ran]).broken
     violations += _version_regressions(history.observations)
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -11,7 +11,7 @@
     Observation,
     PlannedStop,
     TimedRun,
-    broken_promises,
+    find_violations,
 )
 from soak.schedule import (
     FINAL_CALM_SECONDS,
@@ -97,7 +97,7 @@
         last_answered=3,
         last_sent=3,
     )
-    assert broken_promises(history) == []
+    assert find_violations(history) == []
 
 
 FORGED = {
@@ -119,14 +119,14 @@
 
 @pytest.mark.parametrize("promise", FORGED)
 def test_a_forged_history_is_found_out(promise):
-    found = broken_promises(FORGED[promise])
+    found = find_violations(FORGED[promise])
     assert len(found) == 1 and promise in found[0]
 
 
 @pytest.mark.parametrize("seed", [3, 11])
 def test_a_short_soak_breaks_no_promise(seed, tmp_path):
     history = asyncio.run(soak(tmp_path, seed, 20.0))
-    assert broken_promises(history) == []
+    assert find_violations(history) == []
     assert history.last_sent and any(
         one.reported is Reported.ANSWERED for one in history.requests
     )
