--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -164,7 +164,7 @@
         port = member.instance.entry_port
         request = await caller.send(port, "papers", "view", once=False)
         history.last_sent += 1
-        history.last_answered += request.reported is Reported.ANSWERED
+        history.final_answered += request.reported is Reported.ANSWERED
 
 
 async def _collect_records(injector: FaultInjector, caller: Caller, history: History) -> None:
--- a/soak/history.py
+++ b/soak/history.py
@@ -70,7 +70,7 @@
     fatal_runs: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
     # Requests sent while no fault was active.
-    last_answered: int = 0
+    final_answered: int = 0
     last_sent: int = 0
 
 
@@ -85,8 +85,8 @@
         for stop in history.planned_stops
         if stop.code != 0
     ]
-    if history.last_answered < history.last_sent:
-        unanswered = history.last_sent - history.last_answered
+    if history.final_answered < history.last_sent:
+        unanswered = history.last_sent - history.final_answered
         violations.append(
             f"{unanswered} of {history.last_sent} requests not answered in the calm end"
         )
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -94,7 +94,7 @@
         ],
         drained_zones=[DrainedZone("one", 2.0, 3.0)],
         planned_stops=[PlannedStop("a", 0)],
-        last_answered=3,
+        final_answered=3,
         last_sent=3,
     )
     assert find_violations(history) == []
@@ -113,7 +113,7 @@
     ),
     "after a planned stop": History(planned_stops=[PlannedStop("a", 1)]),
     "servers had ended": History(ends=[1.0, 2.0, 3.0], fatal_runs=[1.0, 6.1, 6.2, 6.3, 6.4]),
-    "in the calm end": History(last_answered=2, last_sent=3),
+    "in the calm end": History(final_answered=2, last_sent=3),
 }
 
 
