--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -163,7 +163,7 @@
         member = caller.rng.choice(list(cluster.members.values()))
         port = member.instance.entry_port
         request = await caller.send(port, "papers", "view", once=False)
-        history.last_sent += 1
+        history.final_sent += 1
         history.final_answered += request.reported is Reported.ANSWERED
 
 
--- a/soak/history.py
+++ b/soak/history.py
@@ -71,7 +71,7 @@
     ends: list[float] = field(default_factory=list)
     # Requests sent while no fault was active.
     final_answered: int = 0
-    last_sent: int = 0
+    final_sent: int = 0
 
 
 def find_violations(history: History) -> list[str]:
@@ -85,10 +85,10 @@
         for stop in history.planned_stops
         if stop.code != 0
     ]
-    if history.final_answered < history.last_sent:
-        unanswered = history.last_sent - history.final_answered
+    if history.final_answered < history.final_sent:
+        unanswered = history.final_sent - history.final_answered
         violations.append(
-            f"{unanswered} of {history.last_sent} requests not answered in the calm end"
+            f"{unanswered} of {history.final_sent} requests not answered in the calm end"
         )
     return violations
 
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -95,7 +95,7 @@
         drained_zones=[DrainedZone("one", 2.0, 3.0)],
         planned_stops=[PlannedStop("a", 0)],
         final_answered=3,
-        last_sent=3,
+        final_sent=3,
     )
     assert find_violations(history) == []
 
@@ -113,7 +113,7 @@
     ),
     "after a planned stop": History(planned_stops=[PlannedStop("a", 1)]),
     "servers had ended": History(ends=[1.0, 2.0, 3.0], fatal_runs=[1.0, 6.1, 6.2, 6.3, 6.4]),
-    "in the calm end": History(final_answered=2, last_sent=3),
+    "in the calm end": History(final_answered=2, final_sent=3),
 }
 
 
@@ -127,6 +127,6 @@
 def test_a_short_soak_breaks_no_promise(seed, tmp_path):
     history = asyncio.run(soak(tmp_path, seed, 20.0))
     assert find_violations(history) == []
-    assert history.last_sent and any(
+    assert history.final_sent and any(
         one.reported is Reported.ANSWERED for one in history.requests
     )
