--- /dev/null
+++ b/soak/schedule.py
@@ -0,0 +1,164 @@
+"""Schedule of a soak: which fault starts when, drawn from a seed. This module does no I/O.
+
+Faults overlap: about half of them start before the previous one has ended. Times are in seconds
+from the start of the traffic.
+"""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import StrEnum
+from random import Random
+
+INITIAL_CALM_SECONDS = 2.0  # seconds before the first fault
+FINAL_CALM_SECONDS = 6.0  # seconds after the last fault, in which the cluster must recover
+MEAN_FAULT_INTERVAL_SECONDS = 1.5  # between the starts of two faults
+MIN_FAULT_SECONDS = 0.5
+MAX_FAULT_SECONDS = 4.0
+RESTART_INTERVAL_SECONDS = 3.0  # between two planned restarts
+
+
+class Fault(StrEnum):
+    """A fault or a planned operation that is applied from outside the daemons."""
+
+    KILL = "kill"  # SIGKILL to a daemon; it is restarted at the end
+    STOP = "stop"  # SIGTERM to a daemon; it is restarted at the end
+    FREEZE = "freeze"  # SIGSTOP to a daemon; SIGCONT at the end
+    SLOW_SERVER = "slow-server"
+    FAILING_SERVER = "failing-server"
+    DRAIN = "drain"  # the platform lists an instance as leaving, and as live at the end
+    PLATFORM_DOWN = "platform-down"
+    PLATFORM_SLOW = "platform-slow"
+    LOST_WRITES = "lost-writes"  # the platform applies writes but does not answer them
+    ROLLOUT = "rollout"  # the operators roll out the next bundle
+    ZONE_DRAIN = "zone-drain"  # an operator drains a zone, and restores it at the end
+    SILENCE = "silence"  # open connections between daemons and to the platform go silent
+
+
+INSTANCE_FAULTS = frozenset(
+    {
+        Fault.KILL,
+        Fault.STOP,
+        Fault.FREEZE,
+        Fault.SLOW_SERVER,
+        Fault.FAILING_SERVER,
+        Fault.DRAIN,
+    }
+)
+# Drawn from a separate random sequence, so that adding them did not change the other faults of
+# a seed.
+SEPARATELY_DRAWN_FAULTS = (Fault.SILENCE,)
+MEAN_SILENCE_INTERVAL_SECONDS = 20.0
+PLATFORM_FAULTS = frozenset({Fault.PLATFORM_DOWN, Fault.PLATFORM_SLOW, Fault.LOST_WRITES})
+
+
+@dataclass(frozen=True, slots=True)
+class Step:
+    """One fault that starts at `at` and lasts `seconds`. `where` names the affected instance or
+    zone; it is empty for other faults.
+    """
+
+    at: float
+    fault: Fault
+    where: str
+    seconds: float
+
+    @property
+    def end(self) -> float:
+        return self.at + self.seconds
+
+
+def draw_schedule(
+    seed: int, seconds: float, instances: Sequence[str], zones: Sequence[str]
+) -> list[Step]:
+    """The steps of a soak that lasts `seconds`.
+
+    No instance and no zone has two faults at the same time, and at least one instance has none:
+    without a working instance no request would be answered.
+    """
+    rng = Random(f"soak {seed}")
+    candidates = [fault for fault in Fault if fault not in SEPARATELY_DRAWN_FAULTS]
+    steps: list[Step] = []
+    at = INITIAL_CALM_SECONDS
+    while at < seconds - FINAL_CALM_SECONDS - MIN_FAULT_SECONDS:
+        fault = rng.choice(candidates)
+        duration = min(
+            rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS), seconds - FINAL_CALM_SECONDS - at
+        )
+        step = _make_step(rng, fault, at, duration, steps, instances, zones)
+        if step is not None:
+            steps.append(step)
+        at += rng.expovariate(1 / MEAN_FAULT_INTERVAL_SECONDS)
+    return sorted([*steps, *_draw_silences(seed, seconds)], key=lambda step: step.at)
+
+
+def _draw_silences(seed: int, seconds: float) -> list[Step]:
+    rng = Random(f"soak silences {seed}")
+    steps: list[Step] = []
+    at = INITIAL_CALM_SECONDS + rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
+    while at < seconds - FINAL_CALM_SECONDS:
+        steps.append(Step(at, Fault.SILENCE, "", 0.0))
+        at += rng.expovariate(1 / MEAN_SILENCE_INTERVAL_SECONDS)
+    return steps
+
+
+def mixed_version_schedule(
+    others: Sequence[str], own: Sequence[str], zones: Sequence[str]
+) -> tuple[list[Step], list[Step]]:
+    """The fixed schedule for a fleet in which the daemons `others` run the code of another
+    version. Returns the steps while both versions run, and then the steps that update `others`
+    and change the configuration.
+    """
+    restarts_begin, names = 26.0, [*others, *own]
+    steps = [
+        Step(2.0, Fault.ROLLOUT, "", 1.0),
+        Step(6.0, Fault.ZONE_DRAIN, zones[0], 4.0),
+        Step(13.0, Fault.DRAIN, others[0], 2.0),
+        Step(16.0, Fault.DRAIN, own[0], 2.0),
+        Step(22.0, Fault.ROLLOUT, "", 1.0),
+        *_planned_restarts(names, restarts_begin),
+        Step(
+            restarts_begin + RESTART_INTERVAL_SECONDS * len(names),
+            Fault.ZONE_DRAIN,
+            zones[1],
+            4.0,
+        ),
+    ]
+    updates = _planned_restarts(others, INITIAL_CALM_SECONDS)
+    return steps, [
+        *updates,
+        Step(updates[-1].end + RESTART_INTERVAL_SECONDS, Fault.ROLLOUT, "", 1.0),
+    ]
+
+
+def _planned_restarts(names: Sequence[str], begin: float) -> list[Step]:
+    """Stops of daemons, one after the other."""
+    return [
+        Step(begin + RESTART_INTERVAL_SECONDS * number, Fault.STOP, name, 1.0)
+        for number, name in enumerate(names)
+    ]
+
+
+def _make_step(
+    rng: Random,
+    fault: Fault,
+    at: float,
+    duration: float,
+    earlier: Sequence[Step],
+    instances: Sequence[str],
+    zones: Sequence[str],
+) -> Step | None:
+    """The step for a fault at `at`, or None if it conflicts with the faults active then."""
+    active = [step for step in earlier if step.end > at]
+    occupied = {step.where for step in active}
+    if fault in INSTANCE_FAULTS:
+        free = [name for name in instances if name not in occupied]
+        return Step(at, fault, rng.choice(free), duration) if len(free) > 1 else None
+    if fault is Fault.ZONE_DRAIN:
+        if any(step.fault is fault for step in active):
+            return None
+        return Step(at, fault, rng.choice(list(zones)), duration)
+    if any(step.fault is fault for step in active):
+        return None
+    if fault in PLATFORM_FAULTS and any(step.fault in PLATFORM_FAULTS for step in active):
+        return None
+    return Step(at, fault, "", duration)
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -5,8 +5,21 @@
 import pytest
 
 from soak.__main__ import make_plans, soak
-from soak.course import FIRST, LAST, Fault, beside_other_version, draw
-from soak.history import DrainedZone, History, Observation, Ran, Stopped, broken_promises
+from soak.history import (
+    DrainedZone,
+    History,
+    Observation,
+    PlannedStop,
+    TimedRun,
+    find_violations,
+)
+from soak.schedule import (
+    FINAL_CALM_SECONDS,
+    INITIAL_CALM_SECONDS,
+    Fault,
+    draw_schedule,
+    mixed_version_schedule,
+)
 from standins.backend import Run
 from standins.caller import Reported, Request
 from standins.cluster import python_path
@@ -20,18 +33,18 @@
 
 
 def make_run(request_id="r", zone="one", at=1.0):
-    return Ran(Run(request_id, ""), zone, at)
+    return TimedRun(Run(request_id, ""), zone, at)
 
 
 def test_a_seed_determines_the_schedule():
-    assert draw(7, 60.0, INSTANCES, ZONES) == draw(7, 60.0, INSTANCES, ZONES)
-    assert draw(7, 60.0, INSTANCES, ZONES) != draw(8, 60.0, INSTANCES, ZONES)
+    assert draw_schedule(7, 60.0, INSTANCES, ZONES) == draw_schedule(7, 60.0, INSTANCES, ZONES)
+    assert draw_schedule(7, 60.0, INSTANCES, ZONES) != draw_schedule(8, 60.0, INSTANCES, ZONES)
 
 
 def test_every_fault_occurs_and_faults_overlap():
-    steps = [step for seed in range(20) for step in draw(seed, 60.0, INSTANCES, ZONES)]
+    steps = [step for seed in range(20) for step in draw_schedule(seed, 60.0, INSTANCES, ZONES)]
     assert {step.fault for step in steps} == set(Fault)
-    schedule = draw(1, 60.0, INSTANCES, ZONES)
+    schedule = draw_schedule(1, 60.0, INSTANCES, ZONES)
     overlaps = sum(
         step.at < other.at < step.end
         for step in schedule
@@ -43,13 +56,13 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_a_schedule_spares_one_instance_and_ends_without_faults(seed):
-    steps = draw(seed, 40.0, INSTANCES, ZONES)
+    steps = draw_schedule(seed, 40.0, INSTANCES, ZONES)
     for step in steps:
         concurrent = [s for s in steps if s.at <= step.at < s.end]
         places = [s.where for s in concurrent if s.where]
         assert len(places) == len(set(places))
         assert len([place for place in places if place in INSTANCES]) < len(INSTANCES)
-        assert step.at >= FIRST and step.end <= 40.0 - LAST + 1e-9
+        assert step.at >= INITIAL_CALM_SECONDS and step.end <= 40.0 - FINAL_CALM_SECONDS + 1e-9
 
 
 def test_half_of_the_daemons_run_the_other_version_until_they_are_updated(tmp_path):
@@ -60,7 +73,7 @@
     assert len(others) == len(own)
     for zone in ZONES:
         assert len({plan.checkout for plan in plans if plan.zone == zone}) == 2
-    steps, updates = beside_other_version(others, own, ZONES)
+    steps, updates = mixed_version_schedule(others, own, ZONES)
     where = {fault: {step.where for step in steps if step.fault is fault} for fault in Fault}
     assert where[Fault.STOP] == {*others, *own} and where[Fault.ZONE_DRAIN] == set(ZONES)
     assert where[Fault.DRAIN] & set(others) and where[Fault.DRAIN] & set(own)
@@ -83,11 +96,11 @@
             Observation(3.0, "a", 1, 1),
         ],
         drained_zones=[DrainedZone("one", 2.0, 3.0)],
-        stopped=[Stopped("a", 0)],
-        last_answered=3,
-        last_sent=3,
+        planned_stops=[PlannedStop("a", 0)],
+        final_answered=3,
+        final_sent=3,
     )
-    assert broken_promises(history) == []
+    assert find_violations(history) == []
 
 
 BREACHES = {
@@ -105,22 +118,22 @@
         ran=[make_run(at=2.5)],
         drained_zones=[DrainedZone("one", 2.0, 3.0)],
     ),
-    "after a planned stop": History(stopped=[Stopped("a", 1)]),
+    "after a planned stop": History(planned_stops=[PlannedStop("a", 1)]),
     "servers had ended": History(ends=[1.0, 2.0, 3.0], fatal_runs=[1.0, 6.1, 6.2, 6.3, 6.4]),
-    "in the calm end": History(last_answered=2, last_sent=3),
+    "in the calm end": History(final_answered=2, final_sent=3),
 }
 
 
 @pytest.mark.parametrize("promise", BREACHES)
 def test_a_history_that_breaks_a_promise_is_detected(promise):
-    breaches = broken_promises(BREACHES[promise])
+    breaches = find_violations(BREACHES[promise])
     assert len(breaches) == 1 and promise in breaches[0]
 
 
 @pytest.mark.parametrize("seed", [3, 11])
 def test_a_short_soak_breaks_no_promise(seed, tmp_path):
     history = asyncio.run(soak(tmp_path, seed, 20.0))
-    assert broken_promises(history) == []
-    assert history.last_sent and any(
+    assert find_violations(history) == []
+    assert history.final_sent and any(
         request.reported is Reported.ANSWERED for request in history.requests
     )
