--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the product meets outside: the platform and backend servers."""
+"""Stand-ins for the platform, backend servers, callers and operators."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,6 +1,6 @@
-"""Stand-in for a backend server: slots, service times with a tail, load and health, faults.
+"""Stand-in for a backend server with slots, lognormal service times, a health path and faults.
 
-It records every request that it ran, so that a checker can compare the record with the
+It records every request that it ran, so that `standins.verdict` can compare the record with the
 outcomes that callers got.
 """
 
@@ -17,21 +17,24 @@
 from standins.ending import EndingServer
 
 HOST = "127.0.0.1"
-SEED = 1  # of the service times
+SERVICE_TIME_SEED = 1
 
 
 class Behaviour(msgspec.Struct):
-    """What the stand-in does. Times in seconds; `slow` multiplies the service time."""
+    """How the stand-in handles requests.
+
+    `service` is the mean service time in seconds; `slow` multiplies it.
+    """
 
     slots: int = 12
     service: float = 0.004
-    sigma: float = 0.5  # of the lognormal service time
+    sigma: float = 0.5  # of the logarithm of the service time
     slow: float = 1.0
     fail_fast: bool = False
 
 
 class Run(msgspec.Struct, frozen=True):
-    """One request that was run: the caller's id of it and its key; `at` in unix seconds."""
+    """One run of a request: the caller's request id and key, and its start in unix seconds."""
 
     request_id: str
     key: str
@@ -39,11 +42,11 @@
 
 
 class Record(msgspec.Struct):
-    """What happened at a backend server."""
+    """The runs, health probes and ends of a backend server."""
 
     runs: list[Run]
     probes: int
-    # Unix seconds at which it began to run requests that ended it, and at which it ended.
+    # Unix seconds: starts of the requests that ended the server, and the ends.
     fatal_runs: list[float] = []
     ends: list[float] = []
 
@@ -58,12 +61,10 @@
         self._slots = asyncio.Semaphore(behaviour.slots)
         self.runs: list[Run] = []
         self._probes = 0
-        self.ending: EndingServer | None = None  # what ends it, if anything does
-
+        self.ending: EndingServer | None = None  # set if requests can end the server
         self.server = Server(self.handle)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
         path = exchange.head.target.partition(b"?")[0]
         if path == b"/health":
             await self._health(exchange)
@@ -72,17 +73,17 @@
             self._behaviour = msgspec.json.decode(body, type=Behaviour)
             await exchange.respond(ResponseHead(204, []))
         elif path == b"/stand-in/record":
-            await exchange.respond(ResponseHead(200), msgspec.json.encode(self._record()))
+            await exchange.respond(ResponseHead(200), msgspec.json.encode(self._make_record()))
         else:
             await self._serve(exchange)
 
-    def _record(self) -> Record:
+    def _make_record(self) -> Record:
         if self.ending is None:
             return Record(self.runs, self._probes)
-        to_unix = time.time() - asyncio.get_running_loop().time()
-        began = [at + to_unix for at in self.ending.began]
-        ends = [at + to_unix for at in self.ending.ends]
-        return Record(self.runs, self._probes, began, ends)
+        unix_offset = time.time() - asyncio.get_running_loop().time()
+        fatal_runs = [at + unix_offset for at in self.ending.began]
+        ends = [at + unix_offset for at in self.ending.ends]
+        return Record(self.runs, self._probes, fatal_runs, ends)
 
     async def _health(self, exchange: Exchange) -> None:
         self._probes += 1
@@ -119,8 +120,8 @@
         headers = [(b"content-type", b"text/plain")]
         request_id = head.get(b"x-request-id") or b""
         workspace = head.get(b"wheatslip-workspace") or b""
-        words = [self._name.encode(), workspace, request_id, b"%d" % size]
-        body = b" ".join(words) + b"\n"
+        parts = [self._name.encode(), workspace, request_id, b"%d" % size]
+        body = b" ".join(parts) + b"\n"
         await exchange.respond(ResponseHead(200, headers), body)
 
 
@@ -133,7 +134,7 @@
     parser.add_argument("--fatal", default="", help="target of requests that end the server")
     options = parser.parse_args()
     behaviour = Behaviour(options.slots, options.service)
-    stand_in = BackendStandIn(options.name, behaviour, Random(SEED))
+    stand_in = BackendStandIn(options.name, behaviour, Random(SERVICE_TIME_SEED))
     if options.fatal:
         stand_in.ending = EndingServer(stand_in, {options.fatal})
     await stand_in.server.listen(HOST, options.port)
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""Callers: send requests to entries and record the outcome of each."""
+"""Callers, which send requests to entries and record the outcome of each."""
 
 import time
 from dataclasses import dataclass, field
@@ -21,7 +21,11 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request and its reported outcome. `took` is in seconds."""
+    """One request and its reported outcome.
+
+    `once`: it must not run twice. `wrong` is the start of an unexpected answer. `took` is in
+    seconds.
+    """
 
     request_id: str
     workspace: str
@@ -34,7 +38,7 @@
 
 
 def make_key(rng: Random, now: float) -> str:
-    """A version 7 UUID, as callers make them: unix milliseconds, then random bits."""
+    """Make a version 7 UUID: unix time in milliseconds, then random bits."""
     bits = (int(now * 1000) << 80) | rng.getrandbits(80)
     bits &= ~(0xF << 76) & ~(0x3 << 62)
     return str(UUID(int=bits | (0x7 << 76) | (0x2 << 62)))
@@ -42,7 +46,7 @@
 
 @dataclass(slots=True)
 class Caller:
-    """Sends requests of one workspace."""
+    """Sends the requests of one workspace and keeps them."""
 
     session: aiohttp.ClientSession
     workspace: str
@@ -61,7 +65,7 @@
         deadline_ms: int = 5000,
         body: bytes = b"",
     ) -> Request:
-        """Send one request and note the outcome."""
+        """Send one request; returns it with its outcome."""
         request_id = f"{self.workspace}-{self.rng.getrandbits(64):016x}"
         request = Request(request_id, self.workspace, service, once)
         self.requests.append(request)
@@ -76,21 +80,21 @@
             headers["wheatslip-key"] = key
         method = "POST" if once or body else "GET"
         url = f"http://{HOST}:{entry_port}/{service}/{kind}"
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         try:
             timeout = aiohttp.ClientTimeout(total=deadline_ms / 1000 + 5)
             async with self.session.request(
                 method, url, headers=headers, data=body or None, timeout=timeout
             ) as response:
-                self._note(request, response, await response.text(), len(body))
+                self._record_outcome(request, response, await response.text(), len(body))
         except aiohttp.ClientConnectorError:
             request.reported, request.reason = Reported.NOT_RUN, "could not connect"
         except (aiohttp.ClientError, TimeoutError) as error:
             request.reported, request.reason = Reported.UNKNOWN, type(error).__name__
-        request.took = time.perf_counter() - started
+        request.took = time.perf_counter() - started_at
         return request
 
-    def _note(
+    def _record_outcome(
         self, request: Request, response: aiohttp.ClientResponse, text: str, size: int
     ) -> None:
         outcome = response.headers.get("wheatslip-outcome", "")
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,6 +1,6 @@
 """Starts the processes of a small installation on loopback, for the demo and the tests.
 
-Only this starter starts processes; none of the system's own does.
+The daemons and stand-ins do not start processes themselves.
 """
 
 import asyncio
@@ -22,23 +22,25 @@
 from standins.platform import Faults
 
 HOST = "127.0.0.1"
-START_SECONDS = 60.0
-STOP_SECONDS = 20.0
-_LISTENING = re.compile(r"listening (\d+)")
-_DAEMON_PORTS = re.compile(
+START_TIMEOUT_SECONDS = 60.0
+STOP_TIMEOUT_SECONDS = 20.0
+_LISTENING_PATTERN = re.compile(r"listening (\d+)")
+_DAEMON_PORTS_PATTERN = re.compile(
     r"event=listening .*entry_port=(\d+) peer_port=(\d+) control_port=(\d+) pages_port=(\d+)"
 )
 
 
 class StartFailed(Exception):
-    """A process ended before it was ready."""
+    """A process exited before it was ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One backend server to start, and the daemon beside it. `checkout` is the root of the
-    checkout whose code the daemon runs; None: this one's. Requests of the target `fatal` end
-    the server for a moment; empty: none does.
+    """A backend server to start, with the daemon beside it.
+
+    `service` is the mean service time in seconds. `checkout` is the root of the checkout whose
+    code the daemon runs; None for this one. Requests of the target `fatal` end the server, and
+    it restarts; empty for none.
     """
 
     name: str
@@ -50,63 +52,65 @@
     fatal: str = ""
 
 
-class Running:
-    """One started process, with the lines it wrote."""
+class StartedProcess:
+    """A started process and the lines of its output."""
 
     def __init__(self, process: asyncio.subprocess.Process, name: str):
         self.process = process
         self.name = name
         self.lines: list[str] = []
-        self._changed = asyncio.Event()
-        self._reader = asyncio.create_task(self._read())
+        self._output_changed = asyncio.Event()
+        self._output_reader = asyncio.create_task(self._read_output())
 
     async def wait_for(self, pattern: re.Pattern[str]) -> re.Match[str]:
-        """The first line that matches; raises StartFailed if the process ends before."""
-        async with asyncio.timeout(START_SECONDS):
+        """Wait for a matching line of output; raises StartFailed if the process exits first."""
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             while True:
                 for line in self.lines:
-                    if found := pattern.search(line):
-                        return found
-                if self._reader.done():
+                    if match := pattern.search(line):
+                        return match
+                if self._output_reader.done():
                     tail = "\n".join(self.lines[-20:])
-                    raise StartFailed(f"{self.name} ended before it started:\n{tail}")
-                self._changed.clear()
-                await self._changed.wait()
+                    raise StartFailed(f"{self.name} exited before it was ready:\n{tail}")
+                self._output_changed.clear()
+                await self._output_changed.wait()
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
         if self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def end(self) -> int:
-        """Ask the process to stop, insist after a while; returns its exit code."""
+        """Terminate the process, or kill it after a timeout; returns its exit code."""
         self.send(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP_SECONDS):
+            async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
                 await self.process.wait()
         except TimeoutError:
             self.send(signal.SIGKILL)
             await self.process.wait()
-        await self._reader
+        await self._output_reader
         assert self.process.returncode is not None
         return self.process.returncode
 
-    async def _read(self) -> None:
+    async def _read_output(self) -> None:
         assert self.process.stdout is not None
         async for line in self.process.stdout:
             self.lines.append(line.decode(errors="replace").rstrip("\n"))
-            self._changed.set()
-        self._changed.set()
+            self._output_changed.set()
+        self._output_changed.set()
 
 
 def python_path(checkout: Path) -> str:
-    """The value of PYTHONPATH with which a process runs the code of another checkout."""
+    """The value of PYTHONPATH for a process that runs the code of another checkout."""
     packages = [str(path) for path in sorted(checkout.resolve().glob("packages/*"))]
     return os.pathsep.join([*packages, *filter(None, [os.environ.get("PYTHONPATH")])])
 
 
-async def start(name: str, *arguments: str, checkout: Path | None = None) -> Running:
-    """Start a Python module with arguments, of another checkout if one is given."""
+async def start_process(
+    name: str, *arguments: str, checkout: Path | None = None
+) -> StartedProcess:
+    """Run a Python module with arguments, from another checkout if one is given."""
     environment = {} if checkout is None else {"PYTHONPATH": python_path(checkout)}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -116,7 +120,7 @@
         stderr=asyncio.subprocess.STDOUT,
         env=os.environ | environment,
     )
-    return Running(process, name)
+    return StartedProcess(process, name)
 
 
 @dataclass(slots=True)
@@ -124,9 +128,9 @@
     """One instance: the backend server and the daemon beside it."""
 
     plan: Plan
-    backend: Running
+    backend: StartedProcess
     backend_port: int
-    daemon: Running
+    daemon: StartedProcess
     instance: Instance
     pages_port: int
     listed_version: int = 0
@@ -134,36 +138,36 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """The processes of one installation. `folder` holds settings and keys.
+    """The processes of one installation. `folder` has the settings and keys.
 
-    Daemons reach each other's control ports and the platform through links.
+    Daemons connect to each other's control ports and to the platform through links.
     """
 
     folder: Path
     extra_settings: str = ""
     loop: str = "asyncio"
     session: aiohttp.ClientSession = field(init=False)
-    platform: Running = field(init=False)
+    platform: StartedProcess = field(init=False)
     platform_address: str = field(init=False)
     members: dict[str, Member] = field(default_factory=dict)
     _links: list[NarrowLink] = field(default_factory=list)
-    _daemons_platform: str = field(init=False)  # the platform's address as daemons see it
+    _linked_platform_address: str = field(init=False)
 
     async def open(self) -> None:
-        """Start the platform's stand-in."""
+        """Start the stand-in for the platform."""
         self.session = caller_session()
-        self.platform = await start("platform", "standins.platform")
-        port = (await self.platform.wait_for(_LISTENING)).group(1)
+        self.platform = await start_process("platform", "standins.platform")
+        port = (await self.platform.wait_for(_LISTENING_PATTERN)).group(1)
         self.platform_address = f"{HOST}:{port}"
-        self._daemons_platform = f"{HOST}:{await self._behind_link(int(port))}"
+        self._linked_platform_address = f"{HOST}:{await self._open_link(int(port))}"
 
     def silence_connections(self) -> None:
-        """Let open connections between daemons, and to the platform, say nothing more."""
+        """Stop forwarding on the open connections between daemons and to the platform."""
         for link in self._links:
             link.silence()
 
-    async def _behind_link(self, port: int) -> int:
-        """The port of a new link to `port`."""
+    async def _open_link(self, port: int) -> int:
+        """Open a link to `port`; returns its own port."""
         link = NarrowLink(HOST, port, inf)
         await link.open()
         self._links.append(link)
@@ -181,17 +185,20 @@
         return codes
 
     async def add(self, plans: list[Plan]) -> None:
-        """Start backend servers with their daemons, and list them."""
-        members = await asyncio.gather(*(self._start(plan) for plan in plans))
+        """Start backend servers with their daemons and list them as instances."""
+        members = await asyncio.gather(*(self._start_member(plan) for plan in plans))
         for member in members:
             self.members[member.plan.name] = member
             await self.list_instance(member, InstanceState.LIVE)
 
     async def restart_daemon(self, member: Member) -> None:
-        """Start a member's daemon anew, at other ports, when it has ended; not listed yet."""
+        """Wait until a member's daemon has exited and start it again on other ports.
+
+        The instance in the platform's list is not updated.
+        """
         await member.daemon.process.wait()
         member.daemon = await self.start_daemon(member.plan, member.backend_port)
-        entry, peer, control, member.pages_port = await self.ports_of(member.daemon)
+        entry, peer, control, member.pages_port = await self.wait_for_ports(member.daemon)
         member.instance = msgspec.structs.replace(
             member.instance,
             entry_port=entry,
@@ -201,13 +208,13 @@
         )
 
     async def read_listed_version(self, member: Member) -> None:
-        """Read at which version an instance stands in the platform's list."""
+        """Read the version of an instance in the platform's list into `listed_version`."""
         async with self.session.get(self._list_url(member)) as response:
             assert response.status == 200, await response.text()
             member.listed_version = msgspec.json.decode(await response.read())["version"]
 
     async def list_instance(self, member: Member, state: InstanceState) -> None:
-        """Write an instance into the platform's list, as the platform would."""
+        """Write an instance to the platform's list, as the platform would."""
         instance = msgspec.structs.replace(member.instance, state=state)
         body = {"write_id": "list", "value": instance}
         params = {"expected": str(member.listed_version)}
@@ -218,7 +225,7 @@
             member.listed_version = msgspec.json.decode(await response.read())["version"]
 
     async def unlist(self, member: Member) -> None:
-        """Take an instance off the list."""
+        """Delete an instance from the platform's list."""
         async with self.session.delete(self._list_url(member)) as response:
             assert response.status == 204
 
@@ -226,27 +233,27 @@
         return f"http://{self.platform_address}/objects/{INSTANCE_KIND}/{member.plan.name}"
 
     async def set_faults(self, faults: Faults) -> None:
-        """Tell the platform's stand-in what to do wrong."""
+        """Set the faults of the stand-in for the platform."""
         url = f"http://{self.platform_address}/stand-in/faults"
         async with self.session.put(url, data=msgspec.json.encode(faults)) as response:
             assert response.status == 204
 
     async def set_behaviour(self, name: str, behaviour: Behaviour) -> None:
-        """Tell a backend server what to do."""
+        """Set the behaviour of a backend server."""
         url = f"http://{HOST}:{self.members[name].backend_port}/stand-in/behaviour"
         async with self.session.put(url, data=msgspec.json.encode(behaviour)) as response:
             assert response.status == 204
 
     async def record(self, name: str) -> Record:
-        """What a backend server ran."""
+        """Read the record of a backend server."""
         url = f"http://{HOST}:{self.members[name].backend_port}/stand-in/record"
         async with self.session.get(url) as response:
             return msgspec.json.decode(await response.read(), type=Record)
 
     async def status(self, name: str, timeout: float | None = None) -> dict[str, object]:
-        """A daemon's status page; raises TimeoutError or aiohttp.ClientError without an answer.
+        """Read a daemon's status page; raises TimeoutError or aiohttp.ClientError on failure.
 
-        `timeout` is in seconds; None: that of the session.
+        `timeout` is in seconds; None for the session's timeout.
         """
         url = f"http://{HOST}:{self.members[name].pages_port}/status"
         limit = aiohttp.ClientTimeout(total=timeout) if timeout else None
@@ -254,22 +261,28 @@
             return msgspec.json.decode(await response.read())
 
     async def wait_for_version(self, version: int) -> None:
-        """Wait until every daemon that runs has the version in force."""
-        await self._wait_all(lambda status: status["version"] == version)
+        """Wait until every running daemon reports this bundle version as in force."""
+        await self._wait_for_all(lambda status: status["version"] == version)
 
     async def wait_for_members(self, count: int) -> None:
-        """Wait until every daemon that runs knows so many instances."""
-        await self._wait_all(lambda status: status["members"] == count)
+        """Wait until every running daemon reports this number of instances."""
+        await self._wait_for_all(lambda status: status["members"] == count)
 
     async def wait_for_drained_zones(self, *zones: str) -> None:
-        """Wait until every daemon that runs reports exactly these zones as drained."""
-        await self._wait_all(lambda status: status["emptied_zones"] == sorted(zones))
-
-    async def _wait_all(self, is_met: Callable[[dict[str, object]], bool]) -> None:
-        names = [n for n, m in self.members.items() if m.daemon.process.returncode is None]
-        await asyncio.gather(*(self._wait_one(name, is_met) for name in names))
-
-    async def _wait_one(self, name: str, is_met: Callable[[dict[str, object]], bool]) -> None:
+        """Wait until every running daemon reports exactly these zones as drained."""
+        await self._wait_for_all(lambda status: status["emptied_zones"] == sorted(zones))
+
+    async def _wait_for_all(self, is_met: Callable[[dict[str, object]], bool]) -> None:
+        names = [
+            name
+            for name, member in self.members.items()
+            if member.daemon.process.returncode is None
+        ]
+        await asyncio.gather(*(self._wait_for_one(name, is_met) for name in names))
+
+    async def _wait_for_one(
+        self, name: str, is_met: Callable[[dict[str, object]], bool]
+    ) -> None:
         await eventually(lambda: self._is_met(name, is_met))
 
     async def _is_met(self, name: str, is_met: Callable[[dict[str, object]], bool]) -> bool:
@@ -278,8 +291,8 @@
         except aiohttp.ClientError:
             return False
 
-    async def _start(self, plan: Plan) -> Member:
-        backend = await start(
+    async def _start_member(self, plan: Plan) -> Member:
+        backend = await start_process(
             f"backend {plan.name}",
             "standins.backend",
             "--name",
@@ -291,19 +304,22 @@
             "--fatal",
             plan.fatal,
         )
-        backend_port = int((await backend.wait_for(_LISTENING)).group(1))
+        backend_port = int((await backend.wait_for(_LISTENING_PATTERN)).group(1))
         daemon = await self.start_daemon(plan, backend_port)
-        *ports, pages_port = await self.ports_of(daemon)
+        *ports, pages_port = await self.wait_for_ports(daemon)
         instance = Instance(plan.name, plan.pool, plan.zone, HOST, *ports)
         return Member(plan, backend, backend_port, daemon, instance, pages_port)
 
-    async def ports_of(self, daemon: Running) -> tuple[int, int, int, int]:
-        """A daemon's ports for callers, other daemons, control and pages."""
-        found = await daemon.wait_for(_DAEMON_PORTS)
-        entry, peer, control, pages = (int(port) for port in found.groups())
-        return entry, peer, await self._behind_link(control), pages
+    async def wait_for_ports(self, daemon: StartedProcess) -> tuple[int, int, int, int]:
+        """Wait until a daemon listens; returns its entry, peer, control and pages ports.
+
+        The control port is that of a new link to the daemon.
+        """
+        match = await daemon.wait_for(_DAEMON_PORTS_PATTERN)
+        entry, peer, control, pages = (int(port) for port in match.groups())
+        return entry, peer, await self._open_link(control), pages
 
-    async def start_daemon(self, plan: Plan, backend_port: int) -> Running:
+    async def start_daemon(self, plan: Plan, backend_port: int) -> StartedProcess:
         """Start the daemon beside a backend server."""
         path = self.folder / f"{plan.name}.ini"
         path.write_text(
@@ -311,10 +327,10 @@
             f"loop = {self.loop}\n"
             f"[peer]\nplain-text = yes\n"
             f"[backend]\nport = {backend_port}\n"
-            f"[platform]\naddress = {self._daemons_platform}\n"
+            f"[platform]\naddress = {self._linked_platform_address}\n"
             f"[operators]\nkeyring = {self.folder}\n" + self.extra_settings
         )
-        return await start(
+        return await start_process(
             f"daemon {plan.name}",
             "wheatslipd.main",
             "--settings",
@@ -324,10 +340,10 @@
 
 
 def caller_session() -> aiohttp.ClientSession:
-    """A session of callers, each of whose requests is sent once.
+    """A client session that sends each request only once.
 
-    aiohttp sends a GET again by itself when a kept connection breaks. If the second can't
-    connect, the first may have run all the same, and the caller would say that it did not.
+    By default aiohttp resends a GET when a reused connection breaks. If the resend can't
+    connect, the caller would report the request as not run, although it may have run.
     """
     session = aiohttp.ClientSession()
     session._retry_connection = False
@@ -335,7 +351,7 @@
 
 
 async def eventually(is_met: Callable[[], Awaitable[bool]], seconds: float = 30.0) -> None:
-    """Wait until a condition is met; raises TimeoutError after `seconds`."""
+    """Poll a condition until it is met; raises TimeoutError after `seconds`."""
     async with asyncio.timeout(seconds):
         while not await is_met():
             await asyncio.sleep(0.02)
--- a/standins/ending.py
+++ b/standins/ending.py
@@ -1,4 +1,4 @@
-"""A backend server stand-in that ends when it runs certain requests, and comes back."""
+"""Makes a stand-in for a backend server end on certain requests and restart."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,11 +9,11 @@
 from wheatslipd.http.server import Server
 
 HOST = "127.0.0.1"
-MOST_BODY_BYTES = 1 << 24
+MAX_BODY_BYTES = 1 << 24
 
 
-class HasServer(Protocol):
-    """A stand-in of a backend server."""
+class ServerStandIn(Protocol):
+    """A stand-in for a backend server."""
 
     server: Server
 
@@ -21,24 +21,26 @@
         """Answer one request."""
 
 
-async def _nothing() -> None:
+async def _do_nothing() -> None:
     pass
 
 
 @dataclass(slots=True)
 class EndingServer:
-    """Makes a stand-in end `run_seconds` after it has begun to run a request of a target in
-    `fatal`; it is back at its port `down_seconds` later. Takes the place of the stand-in's
-    server, before that listens.
+    """Ends a stand-in `run_seconds` after the start of a request whose target is in `fatal`.
+
+    The stand-in listens on its port again `down_seconds` later. Create it before the stand-in's
+    server listens, because it replaces that server.
     """
 
-    stand_in: HasServer
+    stand_in: ServerStandIn
     fatal: set[str]
     run_seconds: float = 0.03
     down_seconds: float = 0.4
-    on_back: Callable[[], Awaitable[None]] = _nothing  # called when it listens again
-    began: list[float] = field(default_factory=list)  # fatal runs; the loop's times
-    ends: list[float] = field(default_factory=list)  # the loop's times
+    on_back: Callable[[], Awaitable[None]] = _do_nothing  # called when it listens again
+    # Starts of fatal requests, and ends; on the loop's clock.
+    began: list[float] = field(default_factory=list)
+    ends: list[float] = field(default_factory=list)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _is_down: bool = False
 
@@ -46,35 +48,35 @@
         self.stand_in.server = Server(self.handle)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request, or end of it."""
+        """Handle one request, or end the stand-in if its target is fatal."""
         if exchange.head.target.decode() not in self.fatal:
             await self.stand_in.handle(exchange)
             return
         await exchange.send_continue()
-        await exchange.body.read_up_to(MOST_BODY_BYTES)
+        await exchange.body.read_up_to(MAX_BODY_BYTES)
         self.began.append(asyncio.get_running_loop().time())
         await asyncio.sleep(self.run_seconds)
         self.end()
         await asyncio.Event().wait()
 
     def end(self) -> None:
-        """End now, whatever runs, and come back later."""
+        """End the stand-in at once, with its requests in flight; it restarts later."""
         if self._is_down:
             return
         self._is_down = True
         self.ends.append(asyncio.get_running_loop().time())
-        task = asyncio.get_running_loop().create_task(self._end())
+        task = asyncio.get_running_loop().create_task(self._restart())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _end(self) -> None:
-        gone = self.stand_in.server
-        connections = list(gone._connections)
-        await gone.stop(0.0)
+    async def _restart(self) -> None:
+        ended_server = self.stand_in.server
+        connections = list(ended_server._connections)
+        await ended_server.stop(0.0)
         for connection in connections:
             connection.abort()
         await asyncio.sleep(self.down_seconds)
         self.stand_in.server = Server(self.handle)
-        await self.stand_in.server.listen(HOST, gone.port)
+        await self.stand_in.server.listen(HOST, ended_server.port)
         self._is_down = False
         await self.on_back()
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,48 +1,44 @@
-"""Stand-in for a link: forwards connections to one port, so many bytes a second, and may let
-those that are open go silent.
-"""
+"""Stand-in for a network link with limited bandwidth, whose connections can be silenced."""
 
 import asyncio
 from collections.abc import AsyncIterator
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-PIECE = 8 * 1024  # bytes that go over the link at a time
+CHUNK_BYTES = 8 * 1024  # the largest unit that the link forwards
 
 
 @dataclass(slots=True)
 class NarrowLink:
-    """Bounds what comes back from `target` to those that connect here; what they send passes at
-    once. All connections share `bytes_per_second`.
+    """Forwards connections to the port `target` and limits the rate of the bytes from there.
 
-    `silence` lets the connections that are open now say nothing more for good, without an error
-    at either end.
+    All connections share `bytes_per_second`. Bytes to `target` are not limited.
     """
 
     host: str
     target: int
     bytes_per_second: float
     port: int = 0
-    carried: int = 0  # bytes that came back
-    sent: int = 0  # bytes that went to `target`
-    pieces: int = 0  # in which both went
+    carried: int = 0  # bytes from `target`
+    sent: int = 0  # bytes to `target`
+    pieces: int = 0  # chunks in both directions
     _server: asyncio.Server | None = None
-    _sending: asyncio.Lock = field(default_factory=asyncio.Lock)
+    _rate_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _silenced: asyncio.Event = field(default_factory=asyncio.Event)
 
     def silence(self) -> None:
-        """Let open connections go silent for good; new ones work."""
+        """Stop forwarding on the open connections, without closing them; new ones work."""
         self._silenced.set()
         self._silenced = asyncio.Event()
 
     async def open(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port, set as `port`."""
         self._server = await asyncio.start_server(self._forward, self.host, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """End all connections."""
+        """Stop listening and abort all connections."""
         assert self._server is not None
         self._server.close()
         for task in list(self._tasks):
@@ -50,53 +46,57 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _forward(
-        self, near_reader: asyncio.StreamReader, near_writer: asyncio.StreamWriter
+        self, client_reader: asyncio.StreamReader, client_writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        # `close` cancels; asyncio's server logs a handler that ends so.
+        # `close` cancels this task; asyncio logs an error if a cancellation leaves the handler.
         try:
-            far_reader, far_writer = await asyncio.open_connection(self.host, self.target)
-            ways = [
-                asyncio.create_task(self._send(near_reader, far_writer)),
-                asyncio.create_task(self._carry(far_reader, near_writer)),
+            target_reader, target_writer = await asyncio.open_connection(self.host, self.target)
+            directions = [
+                asyncio.create_task(self._forward_to_target(client_reader, target_writer)),
+                asyncio.create_task(self._forward_to_client(target_reader, client_writer)),
             ]
             try:
-                await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
             finally:
-                for way in ways:
-                    way.cancel()
-                await asyncio.gather(*ways, return_exceptions=True)
-                for writer in (far_writer, near_writer):
+                for direction in directions:
+                    direction.cancel()
+                await asyncio.gather(*directions, return_exceptions=True)
+                for writer in (target_writer, client_writer):
                     writer.transport.abort()
         except asyncio.CancelledError:
             pass
         finally:
             self._tasks.discard(task)
 
-    async def _send(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        async for piece in self._pieces(reader):
-            self.sent += len(piece)
-            writer.write(piece)
+    async def _forward_to_target(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        async for chunk in self._read_chunks(reader):
+            self.sent += len(chunk)
+            writer.write(chunk)
             await writer.drain()
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        async for piece in self._pieces(reader):
-            async with self._sending:
-                await asyncio.sleep(len(piece) / self.bytes_per_second)
-            self.carried += len(piece)
-            writer.write(piece)
+    async def _forward_to_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        async for chunk in self._read_chunks(reader):
+            async with self._rate_lock:
+                await asyncio.sleep(len(chunk) / self.bytes_per_second)
+            self.carried += len(chunk)
+            writer.write(chunk)
             await writer.drain()
 
-    async def _pieces(self, reader: asyncio.StreamReader) -> AsyncIterator[bytes]:
-        """What is read until the connection ends; without an end once it is silent."""
+    async def _read_chunks(self, reader: asyncio.StreamReader) -> AsyncIterator[bytes]:
+        """Read until the connection ends; blocks forever once the connection is silenced."""
         silenced = self._silenced
         with suppress(ConnectionError):
-            while piece := await reader.read(PIECE):
+            while chunk := await reader.read(CHUNK_BYTES):
                 if silenced.is_set():
                     break
                 self.pieces += 1
-                yield piece
+                yield chunk
         if silenced.is_set():
             await asyncio.Event().wait()
--- a/standins/operators.py
+++ b/standins/operators.py
@@ -1,27 +1,27 @@
-"""Two operators who drive a bundle through the `wheatslip` command, as people would."""
+"""Two operators who release bundles and drain zones with the `wheatslip` command."""
 
 import asyncio
 import sys
 from dataclasses import dataclass
 from pathlib import Path
 
-OPERATORS = ("anna", "moussa")
+OPERATOR_NAMES = ("anna", "moussa")
 
 
 class CommandFailed(Exception):
-    """The operators' command ended with an exit code other than 0."""
+    """The `wheatslip` command exited with a code other than 0."""
 
 
 @dataclass(frozen=True, slots=True)
 class Desk:
-    """The operators' files in one folder."""
+    """The operators' keys, settings and bundle files in one folder."""
 
     folder: Path
 
     async def prepare(self, platform_address: str) -> None:
-        """Make the operators' keys and settings."""
-        for operator in OPERATORS:
-            await wheatslip("make-keys", operator, "--folder", str(self.folder))
+        """Create the operators' keys and settings files."""
+        for operator in OPERATOR_NAMES:
+            await run_wheatslip("make-keys", operator, "--folder", str(self.folder))
             self.settings(operator).write_text(
                 f"[platform]\naddress = {platform_address}\n"
                 f"[operator]\nname = {operator}\nkey = {self.folder}/{operator}.key\n"
@@ -33,30 +33,33 @@
         return self.folder / f"{operator}-operator.ini"
 
     async def release(self, version: int, text: str) -> None:
-        """Propose, sign twice and roll out a bundle."""
+        """Propose a bundle, sign it as both operators and roll it out."""
         path = self.folder / f"bundle-{version}.ini"
         path.write_text(text)
-        first, second = OPERATORS
-        await self._bundle("propose", path, first)
-        await self._bundle("sign", path, first)
-        await self._bundle("sign", path, second)
-        await self._bundle("rollout", path, second)
+        first, second = OPERATOR_NAMES
+        await self._run_bundle_command("propose", path, first)
+        await self._run_bundle_command("sign", path, first)
+        await self._run_bundle_command("sign", path, second)
+        await self._run_bundle_command("rollout", path, second)
 
     async def drain_zone(self, zone: str) -> None:
-        """Drain a zone; one operator is enough."""
-        await wheatslip("zone", "drain", zone, "--settings", str(self.settings(OPERATORS[0])))
+        """Drain a zone; needs only one operator."""
+        await run_wheatslip(
+            "zone", "drain", zone, "--settings", str(self.settings(OPERATOR_NAMES[0]))
+        )
 
     async def restore_zone(self, zone: str) -> None:
-        """Restore a zone."""
-        await wheatslip("zone", "restore", zone, "--settings", str(self.settings(OPERATORS[0])))
+        await run_wheatslip(
+            "zone", "restore", zone, "--settings", str(self.settings(OPERATOR_NAMES[0]))
+        )
 
-    async def _bundle(self, command: str, path: Path, operator: str) -> None:
+    async def _run_bundle_command(self, command: str, path: Path, operator: str) -> None:
         settings = str(self.settings(operator))
-        await wheatslip("bundle", command, str(path), "--settings", settings)
+        await run_wheatslip("bundle", command, str(path), "--settings", settings)
 
 
-async def wheatslip(*arguments: str) -> str:
-    """Run the operators' command; returns what it printed."""
+async def run_wheatslip(*arguments: str) -> str:
+    """Run the `wheatslip` command; returns its output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/standins/plainbackend.py
+++ b/standins/plainbackend.py
@@ -1,6 +1,6 @@
 """Stand-in for a backend server that speaks plain HTTP and registers by heartbeats.
 
-It keeps the requests that it received, and misbehaves as a test sets it to.
+It keeps the requests that it received. Tests set its faults.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 
 
 class Trouble(StrEnum):
-    """What it does with requests instead of answering well."""
+    """How requests fail."""
 
     NONE = "none"
-    SHED = "shed"  # refuses, with the header for a request that was not run
-    FAIL = "fail"  # runs it and answers 500
-    RESET = "reset"  # runs it and resets the connection
-    CUT = "cut"  # runs it and breaks off its answer
-    HANG = "hang"
+    SHED = "shed"  # answers 503 with the header for a request that was not run
+    FAIL = "fail"  # runs the request and answers 500
+    RESET = "reset"  # runs the request and aborts the connection
+    CUT = "cut"  # runs the request and aborts the connection within the body
+    HANG = "hang"  # runs the request and never answers
 
 
 @dataclass(slots=True)
-class Received:
-    """One request as it arrived."""
+class ReceivedRequest:
+    """One request as the server received it."""
 
     method: str
     target: str
@@ -35,48 +35,57 @@
 
 @dataclass(slots=True)
 class PlainBackend:
-    """One server; `server_id` names this start of it."""
+    """One server. `server_id` identifies this start of it.
+
+    `health` is the status of health responses, `service` is the service time in seconds, and
+    `load` is the value of the load header.
+    """
 
     server_id: str
     trouble: Trouble = Trouble.NONE
     health: int = 200
     service: float = 0.0
     load: bytes = b"0,0,4,100"
-    cold_until: float = 0.0  # the loop's time
-    arrivals: list[float] = field(default_factory=list)  # of requests that it ran; loop's times
-    received: list[Received] = field(default_factory=list)
-    ran: list[str] = field(default_factory=list)
+    cold_until: float = 0.0  # on the loop's clock
+    # Of the requests that it ran, on the loop's clock.
+    arrivals: list[float] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
+    ran: list[str] = field(default_factory=list)  # request ids
     server: Server = field(init=False)
 
     def __post_init__(self) -> None:
         self.server = Server(self.handle)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
         head = exchange.head
         if head.target == b"/health":
-            headers: Headers = [(b"instance-id", self.server_id.encode()), *self._load()]
+            headers: Headers = [
+                (b"instance-id", self.server_id.encode()),
+                *self._load_headers(),
+            ]
             if self.cold_remaining > 0:
                 headers.append((b"cold-remaining", b"%d" % (1000 * self.cold_remaining)))
             await exchange.respond(ResponseHead(self.health, headers))
             return
         body = await exchange.body.read_up_to(1 << 20)
-        named = {name.decode(): value.decode() for name, value in head.headers}
-        received = Received(head.method.decode(), head.target.decode(), named, body)
+        request_headers = {name.decode(): value.decode() for name, value in head.headers}
+        received = ReceivedRequest(
+            head.method.decode(), head.target.decode(), request_headers, body
+        )
         self.received.append(received)
-        if named.get("expect-instance", self.server_id) != self.server_id:
+        if request_headers.get("expect-instance", self.server_id) != self.server_id:
             await exchange.respond(ResponseHead(421, [(b"not-executed", b"1")]))
             return
         await self._run(exchange, received)
 
     @property
     def cold_remaining(self) -> float:
-        """Seconds that it stays cold."""
+        """Seconds until the server is warm."""
         return max(0.0, self.cold_until - asyncio.get_running_loop().time())
 
-    async def _run(self, exchange: Exchange, received: Received) -> None:
+    async def _run(self, exchange: Exchange, received: ReceivedRequest) -> None:
         request_id = received.headers.get("request-id", "")
-        headers = [(b"request-id", request_id.encode()), *self._load()]
+        headers = [(b"request-id", request_id.encode()), *self._load_headers()]
         if self.trouble is Trouble.SHED:
             headers.append((b"not-executed", b"1"))
             await exchange.respond(ResponseHead(503, headers))
@@ -100,5 +109,5 @@
             case _:
                 await exchange.respond(ResponseHead(200, headers), self.server_id.encode())
 
-    def _load(self) -> Headers:
+    def _load_headers(self) -> Headers:
         return [(b"load-report", self.load)]
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,5 +1,7 @@
-"""Stand-in for the platform's object API: versions, conditional updates, watches, a call
-budget, and faults that a test or the demo switches on. Speaks what docs/PLATFORM.md says.
+"""Stand-in for the platform's object API, which docs/PLATFORM.md describes.
+
+It has versions, conditional updates, watches, call rate limits, and faults that tests and the
+demo set.
 """
 
 import argparse
@@ -12,15 +14,18 @@
 from wheatslip.store.objectclient import WriteBody
 from wheatslip.store.objects import Listing, StoredObject
 
-KEPT_CHANGES = 1000
+MAX_KEPT_CHANGES = 1000
 MAX_VALUE_BYTES = 1_000_000
-# The rates of the users' store for some dozen instances, from their site sheets.
+# Rate limits of the users' store for a few dozen instances, from the users' site sheets.
 WRITES_PER_SECOND = 400.0
 READS_PER_SECOND = 2000.0
 
 
 class Faults(msgspec.Struct):
-    """What the stand-in does wrong. `delay` is in seconds; counts run down to 0."""
+    """The faults of the stand-in.
+
+    `delay` is in seconds, for each call. `lose_write_answers` counts down to 0.
+    """
 
     down: bool = False
     delay: float = 0.0
@@ -28,21 +33,21 @@
     writes_per_second: float = WRITES_PER_SECOND
 
 
-class Rate:
-    """A token bucket of one second's size."""
+class TokenBucket:
+    """A token bucket that holds the calls of one second."""
 
     def __init__(self) -> None:
         self._tokens: float | None = None
-        self._filled = 0.0
+        self._filled_at = 0.0
 
     def take(self, per_second: float) -> bool:
-        """Whether a call is within the rate."""
+        """Take a token for a call; returns False if the rate is exceeded."""
         now = time.monotonic()
         if self._tokens is None:
             self._tokens = per_second
-        gained = (now - self._filled) * per_second
-        self._tokens = min(per_second, self._tokens + gained)
-        self._filled = now
+        refill = (now - self._filled_at) * per_second
+        self._tokens = min(per_second, self._tokens + refill)
+        self._filled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -51,66 +56,68 @@
 
 @dataclass
 class Store:
-    """The objects, with the latest changes in order. One version counts all kinds."""
+    """The objects and the latest changes in order. All kinds share one version."""
 
     version: int = 0
     objects: dict[tuple[str, str], StoredObject] = field(default_factory=dict)
     changes: list[StoredObject] = field(default_factory=list)
-    forgotten: int = 0
+    last_dropped_version: int = 0
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     async def put(
         self, kind: str, name: str, body: WriteBody, expected: int
     ) -> StoredObject | None:
-        """The new object, or None if the version is not the expected one."""
+        """Write an object; returns None if its version is not `expected`."""
         current = self.objects.get((kind, name))
         if (current.version if current else 0) != expected:
             return None
         self.version += 1
         new = StoredObject(kind, name, self.version, body.value, body.write_id)
         self.objects[kind, name] = new
-        await self._note(new)
+        await self._record_change(new)
         return new
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object; watchers see it with `deleted` set."""
+        """Delete an object; watches return it with `deleted` set."""
         current = self.objects.pop((kind, name), None)
         if current is not None:
             self.version += 1
-            gone = msgspec.structs.replace(current, version=self.version, deleted=True)
-            await self._note(gone)
+            tombstone = msgspec.structs.replace(current, version=self.version, deleted=True)
+            await self._record_change(tombstone)
 
     def listing(self, kind: str) -> Listing:
-        """All objects of a kind."""
+        """All objects of a kind, sorted by name."""
         items = (item for (k, _), item in sorted(self.objects.items()) if k == kind)
         return Listing(self.version, tuple(items))
 
-    def since(self, kind: str, version: int) -> Listing:
+    def changes_since(self, kind: str, version: int) -> Listing:
         """Changes of a kind after a version."""
         items = (item for item in self.changes if item.version > version and item.kind == kind)
         return Listing(self.version, tuple(items))
 
-    async def _note(self, item: StoredObject) -> None:
+    async def _record_change(self, item: StoredObject) -> None:
         self.changes.append(item)
-        if len(self.changes) > KEPT_CHANGES:
-            self.forgotten = self.changes.pop(0).version
+        if len(self.changes) > MAX_KEPT_CHANGES:
+            self.last_dropped_version = self.changes.pop(0).version
         async with self.changed:
             self.changed.notify_all()
 
 
 class PlatformStandIn:
-    """The HTTP face of the store."""
+    """HTTP server of the store."""
 
     def __init__(self) -> None:
         self.store = Store()
         self.faults = Faults()
-        self.reads = Rate()
-        self.writes = Rate()
+        self.read_bucket = TokenBucket()
+        self.write_bucket = TokenBucket()
         self.calls = {"read": 0, "write": 0}
 
     def app(self) -> web.Application:
-        """The aiohttp application."""
-        app = web.Application(client_max_size=2 * MAX_VALUE_BYTES, middlewares=[self._fault])
+        """Create the aiohttp application."""
+        app = web.Application(
+            client_max_size=2 * MAX_VALUE_BYTES, middlewares=[self._inject_faults]
+        )
         app.router.add_get("/objects/{kind}", self._list)
         app.router.add_get("/objects/{kind}/{name}", self._get)
         app.router.add_put("/objects/{kind}/{name}", self._put)
@@ -119,7 +126,7 @@
         return app
 
     @web.middleware
-    async def _fault(self, request: web.Request, handler):
+    async def _inject_faults(self, request: web.Request, handler):
         if request.path.startswith("/stand-in/"):
             return await handler(request)
         if self.faults.down:
@@ -127,21 +134,21 @@
             return web.Response(status=503)
         is_read = request.method == "GET"
         self.calls["read" if is_read else "write"] += 1
-        rate, limit = (
-            (self.reads, READS_PER_SECOND)
+        bucket, limit = (
+            (self.read_bucket, READS_PER_SECOND)
             if is_read
-            else (self.writes, self.faults.writes_per_second)
+            else (self.write_bucket, self.faults.writes_per_second)
         )
-        if not rate.take(limit):
+        if not bucket.take(limit):
             return web.Response(status=429)
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
         response = await handler(request)
-        if self.faults.down or (not is_read and self._loses_answer()):
+        if self.faults.down or (not is_read and self._take_lost_answer()):
             request.transport.abort()
         return response
 
-    def _loses_answer(self) -> bool:
+    def _take_lost_answer(self) -> bool:
         if not self.faults.lose_write_answers:
             return False
         self.faults.lose_write_answers -= 1
@@ -153,14 +160,14 @@
         if since is None:
             return _json(self.store.listing(kind))
         version = int(since)
-        if version < self.store.forgotten or version > self.store.version:
+        if version < self.store.last_dropped_version or version > self.store.version:
             return web.Response(status=410)
         deadline = time.monotonic() + float(request.query.get("wait", "0"))
-        found = self.store.since(kind, version)
-        while not found.items and (left := deadline - time.monotonic()) > 0:
-            await self._wait_for_change(left)
-            found = self.store.since(kind, version)
-        return _json(found)
+        changes = self.store.changes_since(kind, version)
+        while not changes.items and (remaining := deadline - time.monotonic()) > 0:
+            await self._wait_for_change(remaining)
+            changes = self.store.changes_since(kind, version)
+        return _json(changes)
 
     async def _wait_for_change(self, seconds: float) -> None:
         try:
@@ -170,8 +177,10 @@
             pass
 
     async def _get(self, request: web.Request) -> web.Response:
-        found = self.store.objects.get((request.match_info["kind"], request.match_info["name"]))
-        return _json(found) if found else web.Response(status=404)
+        stored = self.store.objects.get(
+            (request.match_info["kind"], request.match_info["name"])
+        )
+        return _json(stored) if stored else web.Response(status=404)
 
     async def _put(self, request: web.Request) -> web.Response:
         kind, name = request.match_info["kind"], request.match_info["name"]
@@ -203,7 +212,7 @@
 
 
 async def serve(host: str, port: int) -> tuple[web.AppRunner, int, PlatformStandIn]:
-    """Start a stand-in; returns its runner, its port and itself."""
+    """Start a stand-in; returns its runner, its port and the stand-in."""
     stand_in = PlatformStandIn()
     runner = web.AppRunner(
         stand_in.app(), access_log=None, handler_cancellation=True, shutdown_timeout=0.1
@@ -211,8 +220,8 @@
     await runner.setup()
     site = web.TCPSite(runner, host, port)
     await site.start()
-    bound = runner.addresses[0][1]
-    return runner, bound, stand_in
+    bound_port = runner.addresses[0][1]
+    return runner, bound_port, stand_in
 
 
 async def _main() -> None:
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -1,4 +1,4 @@
-"""Compares the outcomes that callers got with what the backend servers ran."""
+"""Compares the outcomes that callers got with the requests that the backend servers ran."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,14 +7,14 @@
 from standins.backend import Run
 from standins.caller import Reported, Request
 
-# Seconds after all daemons reported that a zone is drained. What a gate let through before has
-# reached its server by then: a connection takes up to a quarter of a second.
+# From when all daemons report a zone as drained until no request starts to run there. A request
+# that a gate admitted before may first wait a quarter of a second for its connection.
 DRAIN_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class Verdict:
-    """The counts of one history, and the promises it breaks."""
+    """The counts of one history, and the ids of requests that broke a promise."""
 
     requests: int = 0
     answered: int = 0
@@ -27,7 +27,7 @@
 
     @property
     def broken(self) -> list[str]:
-        """A sentence for each promise that was broken."""
+        """One message for each kind of broken promise."""
         claims = (
             ("ran twice", self.ran_twice),
             ("ran though told not run", self.ran_though_reported_not_run),
@@ -38,25 +38,25 @@
 
 
 def judge(requests: Iterable[Request], runs: Iterable[Run]) -> Verdict:
-    """The verdict on a history of requests and runs."""
-    times_run = Counter(run.request_id for run in runs)
+    """Check the reported outcomes of requests against the runs."""
+    run_counts = Counter(run.request_id for run in runs)
     verdict = Verdict()
-    for one in requests:
+    for request in requests:
         verdict.requests += 1
-        times = times_run[one.request_id]
-        match one.reported:
+        run_count = run_counts[request.request_id]
+        match request.reported:
             case Reported.ANSWERED:
                 verdict.answered += 1
-                if not times:
-                    verdict.not_run_though_answered.append(one.request_id)
+                if not run_count:
+                    verdict.not_run_though_answered.append(request.request_id)
             case Reported.NOT_RUN:
                 verdict.not_run += 1
-                if times:
-                    verdict.ran_though_reported_not_run.append(one.request_id)
+                if run_count:
+                    verdict.ran_though_reported_not_run.append(request.request_id)
             case Reported.UNKNOWN:
                 verdict.unknown += 1
-        if one.once and times > 1:
-            verdict.ran_twice.append(one.request_id)
-        if one.wrong:
-            verdict.wrong_answers.append(one.request_id)
+        if request.once and run_count > 1:
+            verdict.ran_twice.append(request.request_id)
+        if request.wrong:
+            verdict.wrong_answers.append(request.request_id)
     return verdict
