--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -13,8 +13,8 @@
 
 from fleet_adapter.heartbeats import decode_heartbeat
 from fleet_adapter.store import FleetStore
-from fleet_standins.door import Door
 from fleet_standins.store import StoreStandIn
+from fleet_standins.storeproxy import Door
 from standins.cluster import HOST, eventually
 from standins.link import NarrowLink
 from standins.plainbackend import PlainBackend
