--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -14,7 +14,7 @@
 from fleet_adapter.heartbeats import decode_heartbeat
 from fleet_adapter.store import FleetStore
 from fleet_standins.store import StoreStandIn
-from fleet_standins.storeproxy import Door
+from fleet_standins.storeproxy import StoreProxy
 from standins.cluster import HOST, eventually
 from standins.link import NarrowLink
 from standins.plainbackend import PlainBackend
@@ -104,7 +104,7 @@
     link_bytes: dict[str, float] = field(default_factory=dict)
     links: dict[str, NarrowLink] = field(default_factory=dict)
     has_doors: bool = False
-    doors: dict[str, Door] = field(default_factory=dict)
+    doors: dict[str, StoreProxy] = field(default_factory=dict)
     has_control_links: bool = False
     control_links: dict[str, NarrowLink] = field(default_factory=dict)
     zones: dict[str, str] = field(default_factory=dict)
@@ -161,7 +161,7 @@
             return self.links[name].port
         if self.has_doors:
             if name not in self.doors:
-                self.doors[name] = Door(self.store)
+                self.doors[name] = StoreProxy(self.store)
                 await self.doors[name].server.listen(HOST, 0)
             return self.doors[name].server.port
         return self.store.server.port
