--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -105,7 +105,7 @@
                 return bool(one.daemons["b"].feed.cache.instances)
 
             await eventually(listed)
-            one.doors["b"].shut(Fault.BUSY)
+            one.doors["b"].block(Fault.BUSY)
             await all_hold(one)
             await stays_away(one, endings)
 
--- a/test/test_turned_away.py
+++ b/test/test_turned_away.py
@@ -44,7 +44,7 @@
 async def shut_out(one, names, fault):
     """Turn daemons away; what they ask from now on, and what waits, fails."""
     for name in names:
-        one.doors[name].shut(fault)
+        one.doors[name].block(fault)
 
     async def nothing_passes():
         return all(one.doors[name].passing == 0 for name in names)
