--- a/test/test_turned_away.py
+++ b/test/test_turned_away.py
@@ -47,7 +47,7 @@
         one.doors[name].block(fault)
 
     async def nothing_passes():
-        return all(one.doors[name].passing == 0 for name in names)
+        return all(one.doors[name].calls_in_flight == 0 for name in names)
 
     await eventually(nothing_passes)
 
