--- a/standins/plainbackend.py
+++ b/standins/plainbackend.py
@@ -12,7 +12,7 @@
 from wheatslipd.http.server import Server
 
 
-class Trouble(StrEnum):
+class ServerFault(StrEnum):
     """How requests fail."""
 
     NONE = "none"
@@ -42,7 +42,7 @@
     """
 
     server_id: str
-    trouble: Trouble = Trouble.NONE
+    trouble: ServerFault = ServerFault.NONE
     health: int = 200
     service: float = 0.0
     load: bytes = b"0,0,4,100"
@@ -86,7 +86,7 @@
     async def _run(self, exchange: Exchange, received: ReceivedRequest) -> None:
         request_id = received.headers.get("request-id", "")
         headers = [(b"request-id", request_id.encode()), *self._load_headers()]
-        if self.trouble is Trouble.SHED:
+        if self.trouble is ServerFault.SHED:
             headers.append((b"not-executed", b"1"))
             await exchange.respond(ResponseHead(503, headers))
             return
@@ -94,17 +94,17 @@
         self.arrivals.append(asyncio.get_running_loop().time())
         await asyncio.sleep(self.service)
         match self.trouble:
-            case Trouble.FAIL:
+            case ServerFault.FAIL:
                 await exchange.respond(ResponseHead(500, headers), b"failed")
-            case Trouble.RESET:
+            case ServerFault.RESET:
                 exchange.connection.abort()
-            case Trouble.CUT:
+            case ServerFault.CUT:
                 headers.append((b"content-length", b"100"))
                 exchange.start(ResponseHead(200, headers))
                 await exchange.write(b"a part")
                 await exchange.flush()
                 exchange.connection.abort()
-            case Trouble.HANG:
+            case ServerFault.HANG:
                 await asyncio.Event().wait()
             case _:
                 await exchange.respond(ResponseHead(200, headers), self.server_id.encode())
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -12,7 +12,7 @@
 from wheatslipd.telemetry.metrics import Metrics
 
 from standins.cluster import HOST
-from standins.plainbackend import PlainBackend, Trouble
+from standins.plainbackend import PlainBackend, ServerFault
 from test.helper import run
 from test.routed_fleet import fleet
 
@@ -71,7 +71,7 @@
 
 def test_a_server_that_resets_connections_and_listens_has_not_ended():
     async def scenario():
-        backend = PlainBackend("i-a", trouble=Trouble.RESET)
+        backend = PlainBackend("i-a", trouble=ServerFault.RESET)
         async with fleet("a", make_backend=lambda name: backend) as one:
             for _ in range(6):
                 assert (await one.ask("a"))[2]["wheatslip-outcome"] != "not-run; ends-servers"
