--- a/standins/plainbackend.py
+++ b/standins/plainbackend.py
@@ -42,7 +42,7 @@
     """
 
     server_id: str
-    trouble: ServerFault = ServerFault.NONE
+    fault: ServerFault = ServerFault.NONE
     health: int = 200
     service: float = 0.0
     load: bytes = b"0,0,4,100"
@@ -86,14 +86,14 @@
     async def _run(self, exchange: Exchange, received: ReceivedRequest) -> None:
         request_id = received.headers.get("request-id", "")
         headers = [(b"request-id", request_id.encode()), *self._load_headers()]
-        if self.trouble is ServerFault.SHED:
+        if self.fault is ServerFault.SHED:
             headers.append((b"not-executed", b"1"))
             await exchange.respond(ResponseHead(503, headers))
             return
         self.ran.append(request_id)
         self.arrivals.append(asyncio.get_running_loop().time())
         await asyncio.sleep(self.service)
-        match self.trouble:
+        match self.fault:
             case ServerFault.FAIL:
                 await exchange.respond(ResponseHead(500, headers), b"failed")
             case ServerFault.RESET:
--- a/test/test_leaving_callers.py
+++ b/test/test_leaving_callers.py
@@ -52,7 +52,7 @@
     async def scenario():
         async with fleet(*names) as one:
             for backend in one.backends.values():
-                backend.trouble = ServerFault.HANG
+                backend.fault = ServerFault.HANG
             writers = [await send(one, "a", VIEW, b"r-%d" % n) for n in range(SLOTS)]
             await reaches(one, "in_flight", SLOTS)
             for writer in writers:
@@ -70,7 +70,7 @@
         async with fleet("a") as one:
             await one.beat("a", 1)
             backend = one.backends["a"]
-            backend.trouble = ServerFault.HANG
+            backend.fault = ServerFault.HANG
             running = [await send(one, "a", VIEW, b"r-%d" % n) for n in range(SLOTS)]
             await reaches(one, "in_flight", SLOTS)
             waiting = await send(one, "a", VIEW, b"waits")
@@ -102,7 +102,7 @@
     async def scenario():
         async with fleet("a", "b") as one:
             for backend in one.backends.values():
-                backend.trouble = ServerFault.RESET
+                backend.fault = ServerFault.RESET
                 backend.service = 0.1  # the first try ends after the caller has left
             writer = await send(one, "a", VIEW, b"r-1")
             await reaches(one, "in_flight", 1)
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -68,7 +68,7 @@
 def test_a_server_that_turns_requests_away_costs_no_answer():
     async def scenario():
         async with fleet("a", "b") as one:
-            one.backends["a"].trouble = ServerFault.SHED
+            one.backends["a"].fault = ServerFault.SHED
             for number in range(6):
                 method, path = [("GET", "/view/1"), ("POST", "/submit/1")][number % 2]
                 status, body, _ = await one.ask("a", path, method)
@@ -82,9 +82,9 @@
         async with fleet("a", "b") as one:
             for trouble in (ServerFault.RESET, ServerFault.CUT, ServerFault.FAIL):
                 for backend in one.backends.values():
-                    backend.trouble = ServerFault.NONE
+                    backend.fault = ServerFault.NONE
                     backend.ran.clear()
-                one.backends["a"].trouble = trouble
+                one.backends["a"].fault = trouble
                 statuses = set()
                 for number in range(12):
                     status, _, _ = await one.ask(
@@ -308,7 +308,7 @@
 def test_a_caller_that_leaves_takes_its_request_along():
     async def scenario():
         async with fleet("a") as one:
-            one.backends["a"].trouble = ServerFault.HANG
+            one.backends["a"].fault = ServerFault.HANG
             port = one.daemons["a"].entry_server.port
             _, writer = await asyncio.open_connection(HOST, port)
             writer.write(b"GET /view/1 HTTP/1.1\r\nHost: papers.example\r\n\r\n")
--- a/test/test_server_ends.py
+++ b/test/test_server_ends.py
@@ -71,7 +71,7 @@
 
 def test_a_server_that_resets_connections_and_listens_has_not_ended():
     async def scenario():
-        backend = PlainBackend("i-a", trouble=ServerFault.RESET)
+        backend = PlainBackend("i-a", fault=ServerFault.RESET)
         async with fleet("a", make_backend=lambda name: backend) as one:
             for _ in range(6):
                 assert (await one.ask("a"))[2]["wheatslip-outcome"] != "not-run; ends-servers"
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -255,7 +255,7 @@
 def test_a_part_of_a_split_that_turns_away_is_not_replaced_by_the_other():
     async def scenario():
         async with fleet("a") as one:
-            one.backends["a"].trouble = ServerFault.SHED
+            one.backends["a"].fault = ServerFault.SHED
             split = configuration(2)
             split["routes"]["view"]["service"] = ""
             split["routes"]["view"]["traffic_split"] = [{"service": "papers", "weight": 1}]
