--- a/standins/plainbackend.py
+++ b/standins/plainbackend.py
@@ -50,7 +50,7 @@
     # Of the requests that it ran, on the loop's clock.
     arrivals: list[float] = field(default_factory=list)
     received: list[ReceivedRequest] = field(default_factory=list)
-    ran: list[str] = field(default_factory=list)  # request ids
+    run_request_ids: list[str] = field(default_factory=list)  # request ids
     server: Server = field(init=False)
 
     def __post_init__(self) -> None:
@@ -90,7 +90,7 @@
             headers.append((b"not-executed", b"1"))
             await exchange.respond(ResponseHead(503, headers))
             return
-        self.ran.append(request_id)
+        self.run_request_ids.append(request_id)
         self.arrivals.append(asyncio.get_running_loop().time())
         await asyncio.sleep(self.service)
         match self.fault:
--- a/test/test_leaving_callers.py
+++ b/test/test_leaving_callers.py
@@ -81,7 +81,7 @@
             for writer in running:
                 writer.transport.abort()
             await is_left_alone(one, SLOTS)
-            assert "waits" not in backend.ran
+            assert "waits" not in backend.run_request_ids
 
     run(scenario)
 
@@ -124,6 +124,6 @@
             await reaches(one, "in_flight", 1)
             writer.transport.abort()
             await is_left_alone(one, 1)
-            assert backend.ran == ["first"]
+            assert backend.run_request_ids == ["first"]
 
     run(scenario)
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -50,7 +50,7 @@
                 writer.write(b"GET /view/1 HTTP/1.1\r\n" + hosts + b"\r\n")
                 assert (await reader.readline()).startswith(b"HTTP/1.1 400")
                 writer.close()
-            assert one.backends["a"].ran == []
+            assert one.backends["a"].run_request_ids == []
 
     run(scenario)
 
@@ -83,7 +83,7 @@
             for trouble in (ServerFault.RESET, ServerFault.CUT, ServerFault.FAIL):
                 for backend in one.backends.values():
                     backend.fault = ServerFault.NONE
-                    backend.ran.clear()
+                    backend.run_request_ids.clear()
                 one.backends["a"].fault = trouble
                 statuses = set()
                 for number in range(12):
@@ -91,8 +91,10 @@
                         "b", "/submit/1", "POST", **{"Request-Id": f"s-{number}"}
                     )
                     statuses.add(status)
-                ran = one.backends["a"].ran + one.backends["b"].ran
-                assert len(ran) == len(set(ran))
+                run_request_ids = (
+                    one.backends["a"].run_request_ids + one.backends["b"].run_request_ids
+                )
+                assert len(run_request_ids) == len(set(run_request_ids))
                 assert statuses <= {200, 500, 502}
                 assert (await one.ask("b"))[0] == 200
 
@@ -104,10 +106,10 @@
         async with fleet("a", "b") as one:
             assert await one.beat("a", 1) == 200
             assert await one.beat("a", 2, "draining") == 200
-            before = len(one.backends["a"].ran)
+            before = len(one.backends["a"].run_request_ids)
             for _ in range(10):
                 assert (await one.ask("a"))[1] == b"i-b"
-            assert len(one.backends["a"].ran) == before
+            assert len(one.backends["a"].run_request_ids) == before
 
             async def listed():
                 entry = one.store.objects[KINDS[INSTANCE_KIND], "a"]
@@ -210,7 +212,7 @@
             await one.stop("a")
             await one.start("a")
             status, _, _ = await one.ask("a")
-            assert status == 503 and one.backends["a"].ran == []
+            assert status == 503 and one.backends["a"].run_request_ids == []
             await one.beat("a", 7)
             await one.ready()
             assert (await one.ask("a"))[0] == 200
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -107,8 +107,12 @@
             await in_force(one, "one")
             answers = [await answer for answer in asked]
             assert {status for status, _, _ in answers} <= {200, 503}
-            ran = [request for backend in one.backends.values() for request in backend.ran]
-            assert len(ran) == [status for status, _, _ in answers].count(200)
+            run_request_ids = [
+                request
+                for backend in one.backends.values()
+                for request in backend.run_request_ids
+            ]
+            assert len(run_request_ids) == [status for status, _, _ in answers].count(200)
 
     run(scenario)
 
