--- a/bench/streams.py
+++ b/bench/streams.py
@@ -22,7 +22,7 @@
 from wheatslipd.tls import PeerTls
 
 from bench.figures import Bound, Figure, add_record_option, report
-from standins.link import NarrowLink
+from standins.link import ThrottledLink
 
 HOST = "127.0.0.1"
 REST_SECONDS = 10.0
@@ -73,7 +73,7 @@
     put_in_force(cache, 1)
     server = RelayServer(cache, PeerTls())
     await server.listen(HOST, 0)
-    link = NarrowLink(HOST, server.port, inf)
+    link = ThrottledLink(HOST, server.port, inf)
     await link.open()
     following = asyncio.create_task(_follow(link.port))
     await asyncio.sleep(1.0)
@@ -92,7 +92,7 @@
     return StreamBytes(per_second, per_change)
 
 
-def _bytes_of(link: NarrowLink) -> int:
+def _bytes_of(link: ThrottledLink) -> int:
     """What has passed both ways, with headers."""
     return link.carried + link.sent + HEADERS * link.pieces
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -18,7 +18,7 @@
 from wheatslip.store.instances import INSTANCE_KIND, Instance, InstanceState
 
 from standins.backend import Behaviour, Record
-from standins.link import NarrowLink
+from standins.link import ThrottledLink
 from standins.platform import Faults
 
 HOST = "127.0.0.1"
@@ -150,7 +150,7 @@
     platform: StartedProcess = field(init=False)
     platform_address: str = field(init=False)
     members: dict[str, Member] = field(default_factory=dict)
-    _links: list[NarrowLink] = field(default_factory=list)
+    _links: list[ThrottledLink] = field(default_factory=list)
     _linked_platform_address: str = field(init=False)
 
     async def open(self) -> None:
@@ -168,7 +168,7 @@
 
     async def _open_link(self, port: int) -> int:
         """Open a link to `port`; returns its own port."""
-        link = NarrowLink(HOST, port, inf)
+        link = ThrottledLink(HOST, port, inf)
         await link.open()
         self._links.append(link)
         return link.port
--- a/standins/link.py
+++ b/standins/link.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class NarrowLink:
+class ThrottledLink:
     """Forwards connections to the port `target` and limits the rate of the bytes from there.
 
     All connections share `bytes_per_second`. Bytes to `target` are not limited.
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -16,7 +16,7 @@
 from fleet_standins.store import StoreStandIn
 from fleet_standins.storeproxy import StoreProxy
 from standins.cluster import HOST, eventually
-from standins.link import NarrowLink
+from standins.link import ThrottledLink
 from standins.plainbackend import PlainBackend
 from test.helper import InProcess
 
@@ -102,11 +102,11 @@
     watch: str = "1s"
     watch_check: str = "0s"
     link_bytes: dict[str, float] = field(default_factory=dict)
-    links: dict[str, NarrowLink] = field(default_factory=dict)
+    links: dict[str, ThrottledLink] = field(default_factory=dict)
     has_doors: bool = False
     doors: dict[str, StoreProxy] = field(default_factory=dict)
     has_control_links: bool = False
-    control_links: dict[str, NarrowLink] = field(default_factory=dict)
+    control_links: dict[str, ThrottledLink] = field(default_factory=dict)
     zones: dict[str, str] = field(default_factory=dict)
     more_backend: str = ""  # lines of the daemons' settings
     more_headers: str = ""
@@ -144,7 +144,7 @@
 
         async def listen_behind_link(host, port):
             await listen(host, port)
-            link = NarrowLink(HOST, daemon.feed.relay.port, inf)
+            link = ThrottledLink(HOST, daemon.feed.relay.port, inf)
             await link.open()
             self.control_links[daemon.settings.name] = link
             daemon.feed.relay.port = link.port
@@ -155,7 +155,7 @@
         """Where a daemon finds the store: behind its link or its door, if it has one."""
         if name in self.link_bytes:
             if name not in self.links:
-                link = NarrowLink(HOST, self.store.server.port, self.link_bytes[name])
+                link = ThrottledLink(HOST, self.store.server.port, self.link_bytes[name])
                 await link.open()
                 self.links[name] = link
             return self.links[name].port
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -43,7 +43,7 @@
 from fleet_adapter.store import FleetStore
 from fleet_standins.store import StoreStandIn
 from standins.cluster import HOST, eventually
-from standins.link import NarrowLink
+from standins.link import ThrottledLink
 from standins.platform import serve
 from test.helper import run
 from test.routed_fleet import configuration, fleet
@@ -103,7 +103,7 @@
 
     async def scenario():
         runner, port, _ = await serve(HOST, 0)
-        link = NarrowLink(HOST, port, LINK)
+        link = ThrottledLink(HOST, port, LINK)
         await link.open()
         near = ObjectClient(f"{HOST}:{port}", Random(1))
         far = ObjectClient(f"{HOST}:{link.port}", Random(1))
@@ -135,7 +135,7 @@
         cache.store_bundle(Head(2, long.digest()), signed, long)
         server = relay.RelayServer(cache, PeerTls())
         await server.listen(HOST, 0)
-        link = NarrowLink(HOST, server.port, LINK)
+        link = ThrottledLink(HOST, server.port, LINK)
         await link.open()
         parent = Instance("parent", "papers", "one", HOST, 1, 2, link.port)
         updates = relay.follow_parent(parent, Cursor("child"), PeerTls())
@@ -200,7 +200,7 @@
         store = StoreStandIn()
         await store.server.listen(HOST, 0)
         store.write("config", "main", configuration(more=ROUTES))
-        link = NarrowLink(HOST, store.server.port, LINK)
+        link = ThrottledLink(HOST, store.server.port, LINK)
         await link.open()
         client = FleetStore(f"{HOST}:{link.port}")
         asked = asyncio.create_task(client.get(HEAD_KIND, HEAD_NAME))
