--- a/standins/link.py
+++ b/standins/link.py
@@ -19,7 +19,7 @@
     target: int
     bytes_per_second: float
     port: int = 0
-    carried: int = 0  # bytes from `target`
+    bytes_from_target: int = 0  # bytes from `target`
     sent: int = 0  # bytes to `target`
     pieces: int = 0  # chunks in both directions
     _server: asyncio.Server | None = None
@@ -85,7 +85,7 @@
         async for chunk in self._read_chunks(reader):
             async with self._rate_lock:
                 await asyncio.sleep(len(chunk) / self.bytes_per_second)
-            self.carried += len(chunk)
+            self.bytes_from_target += len(chunk)
             writer.write(chunk)
             await writer.drain()
 
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -160,7 +160,7 @@
             await settled(one)
             one.store.write("config", "main", configuration(2, more=LONG))
             await one.ready(2)
-            read = one.links[third].carried
+            read = one.links[third].bytes_from_target
             server = one.backends[second].server_id
             assert await one.beat(second, 1, "draining", server) == 200
             await one.stop(second)
@@ -172,7 +172,9 @@
             await eventually(watches)
             await change_arrives(one, 3, prefix="/other/", more=LONG)
             await asyncio.sleep(IN_FORCE_SECONDS)
-            assert one.links[third].carried - read < 1.5 * SIZE  # the new version, once
+            assert (
+                one.links[third].bytes_from_target - read < 1.5 * SIZE
+            )  # the new version, once
 
     run(scenario)
 
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -85,14 +85,14 @@
         async with fleet("a", watch="20s", watch_check="50ms", link_bytes=links) as one:
             one.store.write("config", "main", configuration(2, more=ROUTES))
             await one.ready(2)
-            carried = one.links["a"].carried
+            bytes_from_target = one.links["a"].bytes_from_target
             calls = len(one.store.calls)
 
             async def checked():
                 return len(one.store.calls) >= calls + 40
 
             await eventually(checked)
-            read = one.links["a"].carried - carried
+            read = one.links["a"].bytes_from_target - bytes_from_target
             assert read < 3 * SIZE  # one that was under way, and one in 2.6 s
 
     run(scenario)
@@ -141,7 +141,7 @@
         updates = relay.follow_parent(parent, Cursor("child"), PeerTls())
         async with aclosing(updates):
             assert (await anext(updates)).signed == signed
-        assert link.carried / LINK > 2 * relay.SILENCE_TIMEOUT_SECONDS
+        assert link.bytes_from_target / LINK > 2 * relay.SILENCE_TIMEOUT_SECONDS
         await link.close()
         await server.stop()
 
@@ -206,7 +206,7 @@
         asked = asyncio.create_task(client.get(HEAD_KIND, HEAD_NAME))
 
         async def some_came():
-            return link.carried > 0
+            return link.bytes_from_target > 0
 
         await eventually(some_came)
         await link.close()
