--- a/standins/link.py
+++ b/standins/link.py
@@ -20,7 +20,7 @@
     bytes_per_second: float
     port: int = 0
     bytes_from_target: int = 0  # bytes from `target`
-    sent: int = 0  # bytes to `target`
+    bytes_to_target: int = 0  # bytes to `target`
     pieces: int = 0  # chunks in both directions
     _server: asyncio.Server | None = None
     _rate_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
@@ -75,7 +75,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         async for chunk in self._read_chunks(reader):
-            self.sent += len(chunk)
+            self.bytes_to_target += len(chunk)
             writer.write(chunk)
             await writer.drain()
 
