--- a/bench/streams.py
+++ b/bench/streams.py
@@ -94,7 +94,7 @@
 
 def _bytes_of(link: ThrottledLink) -> int:
     """What has passed both ways, with headers."""
-    return link.bytes_from_target + link.bytes_to_target + HEADERS * link.pieces
+    return link.bytes_from_target + link.bytes_to_target + HEADERS * link.chunk_count
 
 
 async def _follow(port: int) -> None:
--- a/standins/link.py
+++ b/standins/link.py
@@ -21,7 +21,7 @@
     port: int = 0
     bytes_from_target: int = 0  # bytes from `target`
     bytes_to_target: int = 0  # bytes to `target`
-    pieces: int = 0  # chunks in both directions
+    chunk_count: int = 0  # chunks in both directions
     _server: asyncio.Server | None = None
     _rate_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -96,7 +96,7 @@
             while chunk := await reader.read(CHUNK_BYTES):
                 if silenced.is_set():
                     break
-                self.pieces += 1
+                self.chunk_count += 1
                 yield chunk
         if silenced.is_set():
             await asyncio.Event().wait()
