--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -69,7 +69,7 @@
     async def scenario():
         async with fleet("a", "b", "c") as one:
             one.store.fault = fault
-            one.store.lapse(KINDS[INSTANCE_KIND])
+            one.store.expire_objects(KINDS[INSTANCE_KIND])
             if forgets:
                 one.store.forget()
             calls = len(one.store.calls)
@@ -170,7 +170,7 @@
 
             # Between two watches no one would hear of it: the next call is turned away.
             await eventually(list_is_watched)
-            one.store.lapse(KINDS[INSTANCE_KIND])
+            one.store.expire_objects(KINDS[INSTANCE_KIND])
             one.store.fault = Fault.BUSY  # so that the entries stay away for a while
 
             async def seen_gone():
@@ -203,7 +203,7 @@
                 return members() == ["a"]
 
             await eventually(both)
-            one.store.lapse(KINDS[INSTANCE_KIND])
+            one.store.expire_objects(KINDS[INSTANCE_KIND])
             await eventually(only_the_living)
 
     run(scenario)
