--- a/test/test_fleet_adapter.py
+++ b/test/test_fleet_adapter.py
@@ -228,7 +228,7 @@
             await client.delete(INSTANCE_KIND, "a", stored.version)
             (gone,) = (await client.changes(INSTANCE_KIND, item.version, 5.0)).unwrap().items
             assert (gone.name, gone.deleted) == ("a", True)
-            stand_in.forget()
+            stand_in.drop_history()
             late = await client.changes(INSTANCE_KIND, at, 5.0)
             assert isinstance(late.unwrap_err(), TooOld)
 
@@ -270,7 +270,7 @@
             changes = await anext(states)
             assert not changes.whole and [item.name for item in changes.items] == ["c"]
             await client.delete(INSTANCE_KIND, "a", first.version)
-            stand_in.forget()
+            stand_in.drop_history()
             again = await anext(states)
             assert again.whole and [item.name for item in again.items] == ["b", "c"]
 
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -60,7 +60,7 @@
         links = dict.fromkeys(names, LINK)
         async with fleet(*names, watch="20s", watch_check="500ms", link_bytes=links) as one:
             one.store.write("config", "main", configuration(2, more=ROUTES))
-            one.store.forget()
+            one.store.drop_history()
             async with asyncio.timeout(IN_FORCE_SECONDS):
                 await one.ready(2)
 
--- a/test/test_store_comes_back_older.py
+++ b/test/test_store_comes_back_older.py
@@ -178,7 +178,7 @@
             await settled(one)
             await asyncio.sleep(1.5)
             one.store.write(OTHER, "behind", 1)  # so that the history of each watch is gone
-            forgotten = await calls_after(one, one.store.forget)
+            forgotten = await calls_after(one, one.store.drop_history)
             copy = one.store.copy()
             restored = await calls_after(one, lambda: one.store.restore(copy))
             assert restored <= forgotten
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -71,7 +71,7 @@
             one.store.fault = fault
             one.store.expire_objects(KINDS[INSTANCE_KIND])
             if forgets:
-                one.store.forget()
+                one.store.drop_history()
             calls = len(one.store.calls)
 
             async def noticed():
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -209,10 +209,10 @@
         async with two_zones() as one:
             empty(one, "one")
             await in_force(one, "one")
-            one.store.forget()
+            one.store.drop_history()
             restore(one, "one")
             empty(one, "two")
-            one.store.forget()
+            one.store.drop_history()
             await in_force(one, "two")
 
     run(scenario)
