--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -275,7 +275,7 @@
         async with fleet(*"abc", settle="1s") as one:
             watching = [name for name, daemon in one.daemons.items() if daemon.feed.is_watcher]
             (follower,) = {*"abc"} - {*watching}
-            one.store.keep_stale()
+            one.store.freeze_stale_reads()
             one.store.write("config", "main", configuration(2))
             await one.ready(2)
             await one.stop(follower)
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -221,7 +221,7 @@
 def test_an_old_answer_undoes_nothing():
     async def scenario():
         async with two_zones() as one:
-            one.store.keep_stale()
+            one.store.freeze_stale_reads()
             empty(one, "one")
             await in_force(one, "one")
             reader = one.daemons["a"].feed._reader
