--- a/test/test_store_comes_back_older.py
+++ b/test/test_store_comes_back_older.py
@@ -49,12 +49,12 @@
     async def scenario():
         async with older_fleet() as one:
             await settled(one)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             for number in range(more):
                 one.store.write(OTHER, f"lost-{number}", number)
             one.store.write("config", "main", configuration(2))
             await one.ready(2)
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             one.store.write("config", "main", configuration(3))
             await reached(one, lambda daemon: daemon.status().version == 3)
 
@@ -65,10 +65,10 @@
     async def scenario():
         async with older_fleet() as one:
             await settled(one)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             one.store.write("config", "main", configuration(2))
             await one.ready(2)
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             await asyncio.sleep(2.5)
             assert {daemon.status().version for daemon in one.daemons.values()} == {2}
             one.store.write("config", "main", configuration(2))
@@ -82,10 +82,10 @@
     async def scenario():
         async with older_fleet() as one:
             await settled(one)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             await one.add("e")
             await one.ready()
-            one.store.restore(copy)
+            one.store.restore(snapshot)
 
             async def listed():
                 return ("wheatslip-instances", "e") in one.store.objects
@@ -103,10 +103,10 @@
             await settled(one)
             one.store.write("wheatslip-instances", "gone", entry("gone"))
             await reached(one, lambda daemon: "gone" in daemon.feed.cache.instances)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             one.store.remove("wheatslip-instances", "gone")
             await reached(one, lambda daemon: "gone" not in daemon.feed.cache.instances)
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             await reached(one, lambda daemon: "gone" in daemon.feed.cache.instances)
             one.store.remove("wheatslip-instances", "gone")
             await reached(one, lambda daemon: "gone" not in daemon.feed.cache.instances)
@@ -118,10 +118,10 @@
     async def scenario():
         async with older_fleet() as one:
             await settled(one)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             one.store.write("config", "main", configuration(2))
             await one.ready(2)
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             follower = relay_order(NAMES)[-1]
             await one.stop(follower)
             await one.start(follower)
@@ -134,13 +134,13 @@
     async def scenario():
         async with older_fleet() as one:
             await settled(one)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             one.store.write("config", "main", configuration(2))
             await one.ready(2)
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             await asyncio.sleep(0.2)
             one.store.write(OTHER, "again", 1)
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             one.store.write("config", "main", configuration(3))
             await reached(one, lambda daemon: daemon.status().version == 3)
 
@@ -152,10 +152,10 @@
         async with older_fleet() as one:
             assert await one.beat("a", 1) == 200
             await settled(one)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             assert await one.beat("a", 2, "draining") == 200
             await reached(one, is_leaving)
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             assert await one.beat("a", 3, "draining") == 200
 
             async def listed():
@@ -179,8 +179,8 @@
             await asyncio.sleep(1.5)
             one.store.write(OTHER, "behind", 1)  # so that the history of each watch is gone
             forgotten = await calls_after(one, one.store.drop_history)
-            copy = one.store.copy()
-            restored = await calls_after(one, lambda: one.store.restore(copy))
+            snapshot = one.store.snapshot()
+            restored = await calls_after(one, lambda: one.store.restore(snapshot))
             assert restored <= forgotten
 
     run(scenario)
@@ -202,11 +202,11 @@
     async def scenario():
         async with older_fleet() as one:
             await settled(one)
-            copy = one.store.copy()
+            snapshot = one.store.snapshot()
             for _ in range(2):
                 one.store.write("evacuations", "two", {"zone": "two"})
                 await reached(one, lambda daemon: bool(daemon.view.drains.drains))
-                one.store.restore(copy)
+                one.store.restore(snapshot)
                 await reached(one, lambda daemon: not daemon.view.drains.drains)
 
     run(scenario)
