--- a/standins/backend.py
+++ b/standins/backend.py
@@ -81,7 +81,7 @@
         if self.ending is None:
             return Record(self.runs, self._probes)
         unix_offset = time.time() - asyncio.get_running_loop().time()
-        fatal_runs = [at + unix_offset for at in self.ending.began]
+        fatal_runs = [at + unix_offset for at in self.ending.fatal_run_times]
         ends = [at + unix_offset for at in self.ending.ends]
         return Record(self.runs, self._probes, fatal_runs, ends)
 
--- a/standins/ending.py
+++ b/standins/ending.py
@@ -39,7 +39,7 @@
     down_seconds: float = 0.4
     on_back: Callable[[], Awaitable[None]] = _do_nothing  # called when it listens again
     # Starts of fatal requests, and ends; on the loop's clock.
-    began: list[float] = field(default_factory=list)
+    fatal_run_times: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _is_down: bool = False
@@ -54,7 +54,7 @@
             return
         await exchange.send_continue()
         await exchange.body.read_up_to(MAX_BODY_BYTES)
-        self.began.append(asyncio.get_running_loop().time())
+        self.fatal_run_times.append(asyncio.get_running_loop().time())
         await asyncio.sleep(self.run_seconds)
         self.end()
         await asyncio.Event().wait()
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -92,9 +92,9 @@
     await asyncio.sleep(KNOWN_WITHIN + OBSERVED)
     sending.cancel()
     await callers.finish()
-    began = sorted(at for ending in endings for at in ending.began)
-    later = [at for at in began if at > third + KNOWN_WITHIN]
-    assert len(later) <= ALLOWED_LATER, f"{len(later)} of {len(began)} came later"
+    fatal_run_times = sorted(at for ending in endings for at in ending.fatal_run_times)
+    later = [at for at in fatal_run_times if at > third + KNOWN_WITHIN]
+    assert len(later) <= ALLOWED_LATER, f"{len(later)} of {len(fatal_run_times)} came later"
     since = third + KNOWN_WITHIN
     for noted in (callers.hot, callers.single):
         statuses = [status for sent, status in noted if sent > since]
