--- a/standins/ending.py
+++ b/standins/ending.py
@@ -37,7 +37,7 @@
     fatal: set[str]
     run_seconds: float = 0.03
     down_seconds: float = 0.4
-    on_back: Callable[[], Awaitable[None]] = _do_nothing  # called when it listens again
+    on_restart: Callable[[], Awaitable[None]] = _do_nothing  # called when it listens again
     # Starts of fatal requests, and ends; on the loop's clock.
     fatal_run_times: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
@@ -79,4 +79,4 @@
         self.stand_in.server = Server(self.handle)
         await self.stand_in.server.listen(HOST, ended_server.port)
         self._is_down = False
-        await self.on_back()
+        await self.on_restart()
--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -35,7 +35,7 @@
 
     def bind(self, one):
         for name, ending in self.items():
-            ending.on_back = partial(back_under_a_new_id, one, name, ending)
+            ending.on_restart = partial(back_under_a_new_id, one, name, ending)
 
     @property
     def count(self):
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -131,7 +131,7 @@
 
         async with fleet(*NAMES, make_backend=make_backend) as one:
             for name, ending in endings.items():
-                ending.on_back = partial(back_under_a_new_id, one, name, ending)
+                ending.on_restart = partial(back_under_a_new_id, one, name, ending)
 
             async def ask(name, path, method, body):
                 data = in_chunks(body) if body is LONG_BODY else body
