--- a/demo/demo.py
+++ b/demo/demo.py
@@ -216,7 +216,7 @@
     """The rows of the summary."""
     histogram = HdrHistogram(1, LONGEST_MICROSECONDS, 3)
     for one in requests:
-        histogram.record_value(max(1, int(one.took * MICROSECONDS)))
+        histogram.record_value(max(1, int(one.elapsed_seconds * MICROSECONDS)))
     probes = [record.probes / observed.lifetime for record in observed.records.values()]
     reasons = sorted({one.reason for one in requests if one.reason})
     return [
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -23,8 +23,7 @@
 class Request:
     """One request and its reported outcome.
 
-    `once`: it must not run twice. `wrong` is the start of an unexpected answer. `took` is in
-    seconds.
+    `once`: it must not run twice. `wrong` is the start of an unexpected answer.
     """
 
     request_id: str
@@ -34,7 +33,7 @@
     reported: Reported = Reported.UNKNOWN
     reason: str = ""
     wrong: str = ""
-    took: float = 0.0
+    elapsed_seconds: float = 0.0
 
 
 def make_key(rng: Random, now: float) -> str:
@@ -91,7 +90,7 @@
             request.reported, request.reason = Reported.NOT_RUN, "could not connect"
         except (aiohttp.ClientError, TimeoutError) as error:
             request.reported, request.reason = Reported.UNKNOWN, type(error).__name__
-        request.took = time.perf_counter() - started_at
+        request.elapsed_seconds = time.perf_counter() - started_at
         return request
 
     def _record_outcome(
