--- a/standins/caller.py
+++ b/standins/caller.py
@@ -23,7 +23,7 @@
 class Request:
     """One request and its reported outcome.
 
-    `once`: it must not run twice. `wrong` is the start of an unexpected answer.
+    `once`: it must not run twice. `unexpected_answer` is the start of an unexpected answer.
     """
 
     request_id: str
@@ -32,7 +32,7 @@
     once: bool
     reported: Reported = Reported.UNKNOWN
     reason: str = ""
-    wrong: str = ""
+    unexpected_answer: str = ""
     elapsed_seconds: float = 0.0
 
 
@@ -106,4 +106,4 @@
             request.reported = Reported.ANSWERED
             expected = f" {request.workspace} {request.request_id} {size}\n"
             if response.status == 200 and not text.endswith(expected):
-                request.wrong = text[:200]
+                request.unexpected_answer = text[:200]
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -57,6 +57,6 @@
                 verdict.unknown += 1
         if request.once and run_count > 1:
             verdict.ran_twice.append(request.request_id)
-        if request.wrong:
+        if request.unexpected_answer:
             verdict.wrong_answers.append(request.request_id)
     return verdict
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -100,7 +100,7 @@
         assert all(one.reported is Reported.ANSWERED for one in caller.requests)
         # The answer that is given again is the first one's, to the letter.
         first = caller.requests[0].request_id
-        assert all(first in one.wrong for one in caller.requests[1:])
+        assert all(first in one.unexpected_answer for one in caller.requests[1:])
 
     two_upstreams(tmp_path, scenario)
 
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -15,8 +15,10 @@
 ZONES = ("one", "two")
 
 
-def request(request_id="r", reported=Reported.ANSWERED, once=True, wrong=""):
-    return Request(request_id, "alpha", "papers", once, reported, wrong=wrong)
+def request(request_id="r", reported=Reported.ANSWERED, once=True, unexpected_answer=""):
+    return Request(
+        request_id, "alpha", "papers", once, reported, unexpected_answer=unexpected_answer
+    )
 
 
 def ran(request_id="r", zone="one", at=1.0):
@@ -91,7 +93,7 @@
     "ran twice": History(requests=[request()], ran=[ran(), ran()]),
     "ran though told not": History(requests=[request(reported=Reported.NOT_RUN)], ran=[ran()]),
     "answered but never run": History(requests=[request()]),
-    "wrong answer": History(requests=[request(wrong="another's")], ran=[ran()]),
+    "wrong answer": History(requests=[request(unexpected_answer="another's")], ran=[ran()]),
     "went back from version": History(
         observations=[Observation(1.0, "a", 0, 2), Observation(2.0, "a", 0, 1)]
     ),
