--- a/bench/path.py
+++ b/bench/path.py
@@ -22,7 +22,7 @@
 
 from bench.figures import Bound, Figure, add_record_option, report
 from standins.cluster import HOST, Cluster, Plan
-from standins.operators import Desk
+from standins.operators import Operators
 
 SECONDS = 4.0  # of load for one turn
 TURNS = 5
@@ -107,7 +107,7 @@
         cluster = Cluster(folder, extra, loop)
         await cluster.open()
         try:
-            desk = Desk(folder)
+            desk = Operators(folder)
             await desk.prepare(cluster.platform_address)
             plans = [Plan(f"echo-{i}", "echo", "one", 64, 0.0) for i in (1, 2)]
             await cluster.add(plans)
--- a/demo/demo.py
+++ b/demo/demo.py
@@ -33,7 +33,7 @@
 from standins.backend import Record, Run
 from standins.caller import Caller, Request, make_key
 from standins.cluster import Cluster
-from standins.operators import Desk
+from standins.operators import Operators
 from standins.verdict import DRAIN_SECONDS, Verdict, judge
 
 TRAFFIC_SECONDS = 25.0
@@ -84,7 +84,7 @@
 
 
 async def trouble(
-    cluster: Cluster, desk: Desk, observed: Observed, over: asyncio.Event
+    cluster: Cluster, desk: Operators, observed: Observed, over: asyncio.Event
 ) -> None:
     """A backend server with its daemon is killed, another drains, a bundle is rolled out, and a
     zone is drained and restored.
@@ -108,7 +108,9 @@
     over.set()
 
 
-async def drain_zone(cluster: Cluster, desk: Desk, seconds: float, observed: Observed) -> None:
+async def drain_zone(
+    cluster: Cluster, desk: Operators, seconds: float, observed: Observed
+) -> None:
     """An operator drains a zone for a while, under load."""
     print(f"draining zone {DRAINED_ZONE}", flush=True)
     await desk.drain_zone(DRAINED_ZONE)
@@ -129,7 +131,7 @@
     return sum(began < run.at < ended for run in runs)
 
 
-async def roll_out(cluster: Cluster, desk: Desk, version: int, observed: Observed) -> None:
+async def roll_out(cluster: Cluster, desk: Operators, version: int, observed: Observed) -> None:
     """Release a bundle, and time from its release until it is in force everywhere."""
     text = bundle_text(version, SECOND_BUNDLE if version > 1 else "")
     await desk.release(version, text)
@@ -144,7 +146,7 @@
     observed = Observed([], {}, [], [])
     await cluster.open()
     try:
-        desk = Desk(folder)
+        desk = Operators(folder)
         await desk.prepare(cluster.platform_address)
         started = time.monotonic()
         await cluster.add(plans())
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -17,7 +17,7 @@
 from soak.injector import SERVICE, SLOTS, FaultInjector
 from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
-from standins.operators import Desk
+from standins.operators import Operators
 
 WORKSPACE = "alpha"
 SECRET = "alpha-secret"
@@ -45,7 +45,7 @@
     plans = make_plans(other_version)
     cluster = Cluster(folder, MORE_SETTINGS)
     history = History()
-    injector = FaultInjector(cluster, Desk(folder), history, credential_digest(SECRET))
+    injector = FaultInjector(cluster, Operators(folder), history, credential_digest(SECRET))
     await cluster.open()
     try:
         await injector.prepare(plans)
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -14,7 +14,7 @@
 from soak.history import DrainedZone, History, Observation, Stopped
 from standins.backend import Behaviour
 from standins.cluster import Cluster, Member, Plan, eventually
-from standins.operators import CommandFailed, Desk
+from standins.operators import CommandFailed, Operators
 from standins.platform import Faults
 from standins.verdict import DRAIN_SECONDS
 
@@ -52,7 +52,7 @@
     """Plays the steps of a course on one cluster."""
 
     cluster: Cluster
-    desk: Desk
+    desk: Operators
     history: History
     digest: str
     began: float = field(default_factory=time.time)
--- a/standins/operators.py
+++ b/standins/operators.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Desk:
+class Operators:
     """The operators' keys, settings and bundle files in one folder."""
 
     folder: Path
--- a/test/test_processes.py
+++ b/test/test_processes.py
@@ -14,7 +14,7 @@
 from standins.backend import Behaviour
 from standins.caller import Caller, Reported, make_key
 from standins.cluster import Cluster, Plan, eventually
-from standins.operators import Desk
+from standins.operators import Operators
 from standins.platform import Faults
 from standins.verdict import judge
 from test.helper import BUNDLE, SEED, run
@@ -32,7 +32,7 @@
             cluster = Cluster(tmp_path)
             await cluster.open()
             try:
-                desk = Desk(tmp_path)
+                desk = Operators(tmp_path)
                 await desk.prepare(cluster.platform_address)
                 await cluster.add(PLANS)
                 await desk.release(1, BUNDLE)
@@ -224,7 +224,7 @@
         caller = caller_of(cluster)
         faults = Faults(delay=0.2, lose_write_answers=3)
         await cluster.set_faults(faults)
-        desk = Desk(cluster.folder)
+        desk = Operators(cluster.folder)
         await asyncio.gather(
             desk.release(2, BUNDLE.replace("version = 1", "version = 2")),
             send_many(cluster, caller, 20),
