--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -172,9 +172,8 @@
             await eventually(watches)
             await change_arrives(one, 3, prefix="/other/", more=LONG)
             await asyncio.sleep(IN_FORCE_SECONDS)
-            assert (
-                one.links[third].bytes_from_target - read < 1.5 * SIZE
-            )  # the new version, once
+            # The new version, once.
+            assert one.links[third].bytes_from_target - read < 1.5 * SIZE
 
     run(scenario)
 
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -246,10 +246,8 @@
             # No server of `rolls` runs, so its part can only be refused.
             assert set(statuses) == {200, 503}
             assert 15 <= statuses.count(503) <= 45
-            run_request_ids = sum(
-                len(backend.run_request_ids) for backend in one.backends.values()
-            )
-            assert run_request_ids == statuses.count(200)
+            run_count = sum(len(backend.run_request_ids) for backend in one.backends.values())
+            assert run_count == statuses.count(200)
 
     run(scenario)
 
