--- a/standins/caller.py
+++ b/standins/caller.py
@@ -23,7 +23,8 @@
 class Request:
     """One request and its reported outcome.
 
-    `once`: it must not run twice. `unexpected_answer` is the start of an unexpected answer.
+    `once`: it must not run twice. `unexpected_answer` has the first 200 characters of an answer
+    that does not match the request.
     """
 
     request_id: str
--- a/standins/plainbackend.py
+++ b/standins/plainbackend.py
@@ -47,10 +47,10 @@
     service: float = 0.0
     load: bytes = b"0,0,4,100"
     cold_until: float = 0.0  # on the loop's clock
-    # Of the requests that it ran, on the loop's clock.
+    # Starts of the requests that it ran, on the loop's clock.
     arrivals: list[float] = field(default_factory=list)
     received: list[ReceivedRequest] = field(default_factory=list)
-    run_request_ids: list[str] = field(default_factory=list)  # request ids
+    run_request_ids: list[str] = field(default_factory=list)
     server: Server = field(init=False)
 
     def __post_init__(self) -> None:
