--- a/bench/path.py
+++ b/bench/path.py
@@ -23,7 +23,7 @@
 
 from bench.figures import Bound, Figure, add_record_option, report
 from standins.cluster import HOST, Cluster, Plan
-from standins.operators import Desk
+from standins.operators import Operators
 
 TURN_SECONDS = 4.0
 TURNS = 5  # per route
@@ -114,7 +114,7 @@
         cluster = Cluster(folder, extra_settings, loop)
         await cluster.open()
         try:
-            operators = Desk(folder)
+            operators = Operators(folder)
             await operators.prepare(cluster.platform_address)
             plans = [Plan(f"echo-{i}", "echo", "one", 64, 0.0) for i in (1, 2)]
             await cluster.add(plans)
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -22,7 +22,7 @@
 from wheatslipd.tls import PeerTls
 
 from bench.figures import Bound, Figure, add_record_option, report
-from standins.link import NarrowLink
+from standins.link import ThrottledLink
 
 HOST = "127.0.0.1"
 IDLE_SECONDS = 10.0
@@ -72,7 +72,7 @@
     store_version(cache, 1)
     server = RelayServer(cache, PeerTls())
     await server.listen(HOST, 0)
-    link = NarrowLink(HOST, server.port, inf)
+    link = ThrottledLink(HOST, server.port, inf)
     await link.open()
     follower = asyncio.create_task(_follow(link.port))
     await asyncio.sleep(1.0)
@@ -91,8 +91,12 @@
     return StreamBytes(per_second, per_change)
 
 
-def _total_bytes(link: NarrowLink) -> int:
-    return link.carried + link.sent + HEADER_BYTES_PER_PIECE * link.pieces
+def _total_bytes(link: ThrottledLink) -> int:
+    return (
+        link.bytes_from_target
+        + link.bytes_to_target
+        + HEADER_BYTES_PER_PIECE * link.chunk_count
+    )
 
 
 async def _follow(port: int) -> None:
--- a/demo/demo.py
+++ b/demo/demo.py
@@ -33,7 +33,7 @@
 from standins.backend import Record, Run
 from standins.caller import Caller, Request, make_key
 from standins.cluster import Cluster
-from standins.operators import Desk
+from standins.operators import Operators
 from standins.verdict import DRAIN_SECONDS, Verdict, judge
 
 TRAFFIC_SECONDS = 25.0
@@ -88,7 +88,10 @@
 
 
 async def inject_faults(
-    cluster: Cluster, operators: Desk, observations: Observations, faults_done: asyncio.Event
+    cluster: Cluster,
+    operators: Operators,
+    observations: Observations,
+    faults_done: asyncio.Event,
 ) -> None:
     """Kill a backend server with its daemon, drain an instance, roll out a bundle, then drain
     and restore a zone.
@@ -113,7 +116,7 @@
 
 
 async def drain_zone(
-    cluster: Cluster, operators: Desk, seconds: float, observations: Observations
+    cluster: Cluster, operators: Operators, seconds: float, observations: Observations
 ) -> None:
     """Drain a zone for `seconds` under load, then restore it."""
     print(f"draining zone {DRAINED_ZONE}", flush=True)
@@ -135,7 +138,7 @@
 
 
 async def roll_out(
-    cluster: Cluster, operators: Desk, version: int, observations: Observations
+    cluster: Cluster, operators: Operators, version: int, observations: Observations
 ) -> None:
     """Release a bundle, and measure the time until all daemons report it in force."""
     text = bundle_text(version, SECOND_BUNDLE_SECTIONS if version > 1 else "")
@@ -151,7 +154,7 @@
     observations = Observations([], {}, [], [])
     await cluster.open()
     try:
-        operators = Desk(folder)
+        operators = Operators(folder)
         await operators.prepare(cluster.platform_address)
         started_at = time.monotonic()
         await cluster.add(make_plans())
@@ -225,7 +228,7 @@
 ) -> list[tuple[str, str]]:
     histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, 3)
     for request in requests:
-        histogram.record_value(max(1, int(request.took * MICROSECONDS_PER_SECOND)))
+        histogram.record_value(max(1, int(request.elapsed_seconds * MICROSECONDS_PER_SECOND)))
     probe_rates = [
         record.probes / observations.uptime_seconds for record in observations.records.values()
     ]
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -17,7 +17,7 @@
 from soak.schedule import Step, draw_schedule, mixed_version_schedule
 from standins.caller import Caller, Reported
 from standins.cluster import Cluster, Plan
-from standins.operators import Desk
+from standins.operators import Operators
 
 WORKSPACE = "alpha"
 SECRET = "alpha-secret"
@@ -45,7 +45,7 @@
     plans = make_plans(other_version)
     cluster = Cluster(folder, EXTRA_SETTINGS)
     history = History()
-    injector = FaultInjector(cluster, Desk(folder), history, credential_digest(SECRET))
+    injector = FaultInjector(cluster, Operators(folder), history, credential_digest(SECRET))
     await cluster.open()
     try:
         await injector.prepare(plans)
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -14,7 +14,7 @@
 from soak.schedule import Fault, Step
 from standins.backend import Behaviour
 from standins.cluster import Cluster, Member, Plan, eventually
-from standins.operators import CommandFailed, Desk
+from standins.operators import CommandFailed, Operators
 from standins.platform import Faults
 from standins.verdict import DRAIN_SECONDS
 
@@ -52,7 +52,7 @@
     """Starts and ends the faults of a schedule in one cluster."""
 
     cluster: Cluster
-    operators: Desk
+    operators: Operators
     history: History
     credential_digest: str
     started_at: float = field(default_factory=time.time)  # unix seconds
--- a/test/routed_fleet.py
+++ b/test/routed_fleet.py
@@ -16,10 +16,10 @@
 
 from fleet_adapter.heartbeats import decode_heartbeat
 from fleet_adapter.store import FleetStore
-from fleet_standins.door import Door
 from fleet_standins.store import StoreStandIn
+from fleet_standins.storeproxy import StoreProxy
 from standins.cluster import HOST, eventually
-from standins.link import NarrowLink
+from standins.link import ThrottledLink
 from standins.plainbackend import PlainBackend
 from test.helper import InProcessDaemons
 
@@ -107,11 +107,11 @@
     watch: str = "1s"
     watch_check: str = "0s"
     link_bytes_per_second: dict[str, float] = field(default_factory=dict)
-    links: dict[str, NarrowLink] = field(default_factory=dict)
+    links: dict[str, ThrottledLink] = field(default_factory=dict)
     has_doors: bool = False
-    doors: dict[str, Door] = field(default_factory=dict)
+    doors: dict[str, StoreProxy] = field(default_factory=dict)
     has_control_links: bool = False
-    control_links: dict[str, NarrowLink] = field(default_factory=dict)
+    control_links: dict[str, ThrottledLink] = field(default_factory=dict)
     zones: dict[str, str] = field(default_factory=dict)
     extra_backend_settings: str = ""  # more lines of the daemons' settings
     extra_header_settings: str = ""
@@ -149,7 +149,7 @@
 
         async def listen_behind_link(host, port):
             await listen_directly(host, port)
-            link = NarrowLink(HOST, daemon.feed.relay.port, inf)
+            link = ThrottledLink(HOST, daemon.feed.relay.port, inf)
             await link.open()
             self.control_links[daemon.settings.name] = link
             daemon.feed.relay.port = link.port
@@ -160,7 +160,7 @@
         """The port of the store for a daemon: that of its link or door, if it has one."""
         if name in self.link_bytes_per_second:
             if name not in self.links:
-                link = NarrowLink(
+                link = ThrottledLink(
                     HOST, self.store.server.port, self.link_bytes_per_second[name]
                 )
                 await link.open()
@@ -168,7 +168,7 @@
             return self.links[name].port
         if self.has_doors:
             if name not in self.doors:
-                self.doors[name] = Door(self.store)
+                self.doors[name] = StoreProxy(self.store)
                 await self.doors[name].server.listen(HOST, 0)
             return self.doors[name].server.port
         return self.store.server.port
--- a/test/test_end_reports.py
+++ b/test/test_end_reports.py
@@ -35,7 +35,7 @@
 
     def restart_on_end(self, cluster):
         for name, server in self.items():
-            server.on_back = partial(register_under_new_id, cluster, name, server)
+            server.on_restart = partial(register_under_new_id, cluster, name, server)
 
     @property
     def end_count(self):
@@ -107,7 +107,7 @@
                 return bool(cluster.daemons["b"].feed.cache.instances)
 
             await eventually(has_instances)
-            cluster.doors["b"].shut(Fault.BUSY)
+            cluster.doors["b"].block(Fault.BUSY)
             await wait_until_held(cluster)
             await assert_not_forwarded(cluster, servers)
 
--- a/test/test_fleet_adapter.py
+++ b/test/test_fleet_adapter.py
@@ -228,7 +228,7 @@
             await client.delete(INSTANCE_KIND, "a", stored.version)
             (removed,) = (await client.changes(INSTANCE_KIND, item.version, 5.0)).unwrap().items
             assert (removed.name, removed.deleted) == ("a", True)
-            stand_in.forget()
+            stand_in.drop_history()
             late = await client.changes(INSTANCE_KIND, start_version, 5.0)
             assert isinstance(late.unwrap_err(), TooOld)
 
@@ -270,7 +270,7 @@
             changes = await anext(states)
             assert not changes.whole and [item.name for item in changes.items] == ["c"]
             await client.delete(INSTANCE_KIND, "a", first.version)
-            stand_in.forget()
+            stand_in.drop_history()
             relisted = await anext(states)
             assert relisted.whole and [item.name for item in relisted.items] == ["b", "c"]
 
--- a/test/test_leaving_callers.py
+++ b/test/test_leaving_callers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from standins.cluster import HOST, eventually
-from standins.plainbackend import Trouble
+from standins.plainbackend import ServerFault
 from test.helper import run
 from test.routed_fleet import fleet
 
@@ -57,7 +57,7 @@
     async def scenario():
         async with fleet(*names) as installation:
             for backend in installation.backends.values():
-                backend.trouble = Trouble.HANG
+                backend.fault = ServerFault.HANG
             writers = [
                 await start_request(installation, "a", VIEW_REQUEST, b"r-%d" % n)
                 for n in range(SLOTS)
@@ -78,7 +78,7 @@
         async with fleet("a") as installation:
             await installation.send_heartbeat("a", 1)
             backend = installation.backends["a"]
-            backend.trouble = Trouble.HANG
+            backend.fault = ServerFault.HANG
             running = [
                 await start_request(installation, "a", VIEW_REQUEST, b"r-%d" % n)
                 for n in range(SLOTS)
@@ -92,7 +92,7 @@
             for writer in running:
                 writer.transport.abort()
             await assert_nothing_arrives(installation, SLOTS)
-            assert "waits" not in backend.ran
+            assert "waits" not in backend.run_request_ids
 
     run(scenario)
 
@@ -113,7 +113,7 @@
     async def scenario():
         async with fleet("a", "b") as installation:
             for backend in installation.backends.values():
-                backend.trouble = Trouble.RESET
+                backend.fault = ServerFault.RESET
                 backend.service = 0.1  # the first try ends after the caller has left
             writer = await start_request(installation, "a", VIEW_REQUEST, b"r-1")
             await wait_for_total(installation, "in_flight", 1)
@@ -135,6 +135,6 @@
             await wait_for_total(installation, "in_flight", 1)
             writer.transport.abort()
             await assert_nothing_arrives(installation, 1)
-            assert backend.ran == ["first"]
+            assert backend.run_request_ids == ["first"]
 
     run(scenario)
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -102,7 +102,7 @@
         assert all(request.reported is Reported.ANSWERED for request in caller.requests)
         # The repeated response is that of the first request, so the caller reads its id.
         first_id = caller.requests[0].request_id
-        assert all(first_id in request.wrong for request in caller.requests[1:])
+        assert all(first_id in request.unexpected_answer for request in caller.requests[1:])
 
     run_with_two_upstreams(tmp_path, scenario)
 
--- a/test/test_requests_that_end_servers.py
+++ b/test/test_requests_that_end_servers.py
@@ -83,7 +83,7 @@
     await asyncio.sleep(HOLD_DELAY_SECONDS + OBSERVATION_SECONDS)
     sending.cancel()
     await callers.wait_for_responses()
-    run_times = sorted(at for server in servers for at in server.began)
+    run_times = sorted(at for server in servers for at in server.fatal_run_times)
     late_runs = [at for at in run_times if at > third_end_at + HOLD_DELAY_SECONDS]
     assert len(late_runs) <= MAX_LATE_RUNS, (
         f"{len(late_runs)} of {len(run_times)} runs were late"
@@ -126,7 +126,7 @@
 
         async with fleet(*NAMES, make_backend=make_backend) as installation:
             for name, server in servers.items():
-                server.on_back = partial(register_under_new_id, installation, name, server)
+                server.on_restart = partial(register_under_new_id, installation, name, server)
 
             async def send(name, path, method, body):
                 data = in_chunks(body) if body is LONG_BODY else body
--- a/test/test_routed_path.py
+++ b/test/test_routed_path.py
@@ -13,7 +13,7 @@
 from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault
 from standins.cluster import HOST, eventually
-from standins.plainbackend import Trouble
+from standins.plainbackend import ServerFault
 from test.helper import run
 from test.routed_fleet import configuration, fleet
 
@@ -58,7 +58,7 @@
                 writer.write(b"GET /view/1 HTTP/1.1\r\n" + host_lines + b"\r\n")
                 assert (await reader.readline()).startswith(b"HTTP/1.1 400")
                 writer.close()
-            assert installation.backends["a"].ran == []
+            assert installation.backends["a"].run_request_ids == []
 
     run(scenario)
 
@@ -76,7 +76,7 @@
 def test_a_server_that_turns_requests_away_causes_no_error_responses():
     async def scenario():
         async with fleet("a", "b") as installation:
-            installation.backends["a"].trouble = Trouble.SHED
+            installation.backends["a"].fault = ServerFault.SHED
             for number in range(6):
                 method, path = [("GET", "/view/1"), ("POST", "/submit/1")][number % 2]
                 status, body, _ = await installation.send_request("a", path, method)
@@ -88,19 +88,22 @@
 def test_a_reset_request_runs_again_only_if_it_may():
     async def scenario():
         async with fleet("a", "b") as installation:
-            for trouble in (Trouble.RESET, Trouble.CUT, Trouble.FAIL):
+            for trouble in (ServerFault.RESET, ServerFault.CUT, ServerFault.FAIL):
                 for backend in installation.backends.values():
-                    backend.trouble = Trouble.NONE
-                    backend.ran.clear()
-                installation.backends["a"].trouble = trouble
+                    backend.fault = ServerFault.NONE
+                    backend.run_request_ids.clear()
+                installation.backends["a"].fault = trouble
                 statuses = set()
                 for number in range(12):
                     status, _, _ = await installation.send_request(
                         "b", "/submit/1", "POST", **{"Request-Id": f"s-{number}"}
                     )
                     statuses.add(status)
-                ran = installation.backends["a"].ran + installation.backends["b"].ran
-                assert len(ran) == len(set(ran))
+                run_request_ids = (
+                    installation.backends["a"].run_request_ids
+                    + installation.backends["b"].run_request_ids
+                )
+                assert len(run_request_ids) == len(set(run_request_ids))
                 assert statuses <= {200, 500, 502}
                 assert (await installation.send_request("b"))[0] == 200
 
@@ -112,10 +115,10 @@
         async with fleet("a", "b") as installation:
             assert await installation.send_heartbeat("a", 1) == 200
             assert await installation.send_heartbeat("a", 2, "draining") == 200
-            run_count = len(installation.backends["a"].ran)
+            run_count = len(installation.backends["a"].run_request_ids)
             for _ in range(10):
                 assert (await installation.send_request("a"))[1] == b"i-b"
-            assert len(installation.backends["a"].ran) == run_count
+            assert len(installation.backends["a"].run_request_ids) == run_count
 
             async def is_listed_as_leaving():
                 entry = installation.store.objects[KINDS[INSTANCE_KIND], "a"]
@@ -222,7 +225,7 @@
             await installation.stop("a")
             await installation.start("a")
             status, _, _ = await installation.send_request("a")
-            assert status == 503 and installation.backends["a"].ran == []
+            assert status == 503 and installation.backends["a"].run_request_ids == []
             await installation.send_heartbeat("a", 7)
             await installation.ready()
             assert (await installation.send_request("a"))[0] == 200
@@ -287,7 +290,7 @@
                 name for name, daemon in installation.daemons.items() if daemon.feed.is_watcher
             ]
             (follower,) = {*"abc"} - {*watchers}
-            installation.store.keep_stale()
+            installation.store.freeze_stale_reads()
             installation.store.write("config", "main", configuration(2))
             await installation.ready(2)
             await installation.stop(follower)
@@ -332,7 +335,7 @@
 def test_a_request_is_cancelled_when_its_caller_leaves():
     async def scenario():
         async with fleet("a") as installation:
-            installation.backends["a"].trouble = Trouble.HANG
+            installation.backends["a"].fault = ServerFault.HANG
             port = installation.daemons["a"].entry_server.port
             _, writer = await asyncio.open_connection(HOST, port)
             writer.write(b"GET /view/1 HTTP/1.1\r\nHost: papers.example\r\n\r\n")
--- a/test/test_silent_sources.py
+++ b/test/test_silent_sources.py
@@ -163,7 +163,7 @@
             await wait_until_connected(cluster)
             cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
             await cluster.ready(2)
-            carried_before = cluster.links[third].carried
+            carried_before = cluster.links[third].bytes_from_target
             server = cluster.backends[second].server_id
             assert await cluster.send_heartbeat(second, 1, "draining", server) == 200
             await cluster.stop(second)
@@ -181,7 +181,10 @@
             )
             await asyncio.sleep(IN_FORCE_SECONDS)
             # The daemon reads only the new version, and once.
-            assert cluster.links[third].carried - carried_before < 1.5 * CONFIGURATION_BYTES
+            assert (
+                cluster.links[third].bytes_from_target - carried_before
+                < 1.5 * CONFIGURATION_BYTES
+            )
 
     run(scenario)
 
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -29,7 +29,7 @@
 from fleet_adapter.store import FleetStore
 from fleet_standins.store import StoreStandIn
 from standins.cluster import HOST, eventually
-from standins.link import NarrowLink
+from standins.link import ThrottledLink
 from standins.platform import serve
 from test.helper import run
 from test.routed_fleet import configuration, fleet
@@ -48,7 +48,7 @@
             *names, watch="20s", watch_check="500ms", link_bytes_per_second=links
         ) as cluster:
             cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
-            cluster.store.forget()
+            cluster.store.drop_history()
             async with asyncio.timeout(IN_FORCE_SECONDS):
                 await cluster.ready(2)
 
@@ -77,14 +77,14 @@
         ) as cluster:
             cluster.store.write("config", "main", configuration(2, extra_routes=EXTRA_ROUTES))
             await cluster.ready(2)
-            carried_before = cluster.links["a"].carried
+            carried_before = cluster.links["a"].bytes_from_target
             calls = len(cluster.store.calls)
 
             async def has_checked():
                 return len(cluster.store.calls) >= calls + 40
 
             await eventually(has_checked)
-            read_bytes = cluster.links["a"].carried - carried_before
+            read_bytes = cluster.links["a"].bytes_from_target - carried_before
             assert read_bytes < 3 * CONFIGURATION_BYTES  # one read in flight and one refresh
 
     run(scenario)
@@ -95,7 +95,7 @@
 
     async def scenario():
         runner, port, _ = await serve(HOST, 0)
-        link = NarrowLink(HOST, port, LINK_BYTES_PER_SECOND)
+        link = ThrottledLink(HOST, port, LINK_BYTES_PER_SECOND)
         await link.open()
         direct = ObjectClient(f"{HOST}:{port}", Random(1))
         slow = ObjectClient(f"{HOST}:{link.port}", Random(1))
@@ -128,13 +128,15 @@
         cache.store_bundle(Head(2, large_bundle.digest()), signed, large_bundle)
         server = relay.RelayServer(cache, PeerTls())
         await server.listen(HOST, 0)
-        link = NarrowLink(HOST, server.port, LINK_BYTES_PER_SECOND)
+        link = ThrottledLink(HOST, server.port, LINK_BYTES_PER_SECOND)
         await link.open()
         parent = Instance("parent", "papers", "one", HOST, 1, 2, link.port)
         updates = relay.follow_parent(parent, Cursor("child"), PeerTls())
         async with aclosing(updates):
             assert (await anext(updates)).signed == signed
-        assert link.carried / LINK_BYTES_PER_SECOND > 2 * relay.SILENCE_TIMEOUT_SECONDS
+        assert (
+            link.bytes_from_target / LINK_BYTES_PER_SECOND > 2 * relay.SILENCE_TIMEOUT_SECONDS
+        )
         await link.close()
         await server.stop()
 
@@ -197,13 +199,13 @@
         store = StoreStandIn()
         await store.server.listen(HOST, 0)
         store.write("config", "main", configuration(extra_routes=EXTRA_ROUTES))
-        link = NarrowLink(HOST, store.server.port, LINK_BYTES_PER_SECOND)
+        link = ThrottledLink(HOST, store.server.port, LINK_BYTES_PER_SECOND)
         await link.open()
         client = FleetStore(f"{HOST}:{link.port}")
         read_task = asyncio.create_task(client.get(HEAD_KIND, HEAD_NAME))
 
         async def has_partial_response():
-            return link.carried > 0
+            return link.bytes_from_target > 0
 
         await eventually(has_partial_response)
         await link.close()
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -28,8 +28,10 @@
 ZONES = ("one", "two")
 
 
-def make_request(request_id="r", reported=Reported.ANSWERED, once=True, wrong=""):
-    return Request(request_id, "alpha", "papers", once, reported, wrong=wrong)
+def make_request(request_id="r", reported=Reported.ANSWERED, once=True, unexpected_answer=""):
+    return Request(
+        request_id, "alpha", "papers", once, reported, unexpected_answer=unexpected_answer
+    )
 
 
 def make_run(request_id="r", zone="one", at=1.0):
@@ -109,7 +111,9 @@
         requests=[make_request(reported=Reported.NOT_RUN)], ran=[make_run()]
     ),
     "answered but never run": History(requests=[make_request()]),
-    "wrong answer": History(requests=[make_request(wrong="another's")], ran=[make_run()]),
+    "wrong answer": History(
+        requests=[make_request(unexpected_answer="another's")], ran=[make_run()]
+    ),
     "went back from version": History(
         observations=[Observation(1.0, "a", 0, 2), Observation(2.0, "a", 0, 1)]
     ),
--- a/test/test_store_comes_back_older.py
+++ b/test/test_store_comes_back_older.py
@@ -50,12 +50,12 @@
     async def scenario():
         async with watching_fleet() as cluster:
             await wait_until_watching(cluster)
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             for number in range(lost_changes):
                 cluster.store.write(UNREAD_KIND, f"lost-{number}", number)
             cluster.store.write("config", "main", configuration(2))
             await cluster.ready(2)
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
             cluster.store.write("config", "main", configuration(3))
             await wait_at_all_daemons(cluster, lambda daemon: daemon.status().version == 3)
 
@@ -66,10 +66,10 @@
     async def scenario():
         async with watching_fleet() as cluster:
             await wait_until_watching(cluster)
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             cluster.store.write("config", "main", configuration(2))
             await cluster.ready(2)
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
             await asyncio.sleep(2.5)
             assert {daemon.status().version for daemon in cluster.daemons.values()} == {2}
             cluster.store.write("config", "main", configuration(2))
@@ -83,10 +83,10 @@
     async def scenario():
         async with watching_fleet() as cluster:
             await wait_until_watching(cluster)
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             await cluster.add("e")
             await cluster.ready()
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
 
             async def is_listed():
                 return ("wheatslip-instances", "e") in cluster.store.objects
@@ -108,12 +108,12 @@
             await wait_at_all_daemons(
                 cluster, lambda daemon: "gone" in daemon.feed.cache.instances
             )
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             cluster.store.remove("wheatslip-instances", "gone")
             await wait_at_all_daemons(
                 cluster, lambda daemon: "gone" not in daemon.feed.cache.instances
             )
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
             await wait_at_all_daemons(
                 cluster, lambda daemon: "gone" in daemon.feed.cache.instances
             )
@@ -129,10 +129,10 @@
     async def scenario():
         async with watching_fleet() as cluster:
             await wait_until_watching(cluster)
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             cluster.store.write("config", "main", configuration(2))
             await cluster.ready(2)
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
             follower = relay_order(NAMES)[-1]
             await cluster.stop(follower)
             await cluster.start(follower)
@@ -145,13 +145,13 @@
     async def scenario():
         async with watching_fleet() as cluster:
             await wait_until_watching(cluster)
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             cluster.store.write("config", "main", configuration(2))
             await cluster.ready(2)
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
             await asyncio.sleep(0.2)
             cluster.store.write(UNREAD_KIND, "again", 1)
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
             cluster.store.write("config", "main", configuration(3))
             await wait_at_all_daemons(cluster, lambda daemon: daemon.status().version == 3)
 
@@ -163,10 +163,10 @@
         async with watching_fleet() as cluster:
             assert await cluster.send_heartbeat("a", 1) == 200
             await wait_until_watching(cluster)
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             assert await cluster.send_heartbeat("a", 2, "draining") == 200
             await wait_at_all_daemons(cluster, is_leaving)
-            cluster.store.restore(copy)
+            cluster.store.restore(snapshot)
             assert await cluster.send_heartbeat("a", 3, "draining") == 200
 
             async def is_listed():
@@ -190,9 +190,9 @@
             await asyncio.sleep(1.5)
             # Each watch now starts before the current revision, so that its history is lost.
             cluster.store.write(UNREAD_KIND, "behind", 1)
-            forgotten = await count_calls_after(cluster, cluster.store.forget)
-            copy = cluster.store.copy()
-            restored = await count_calls_after(cluster, lambda: cluster.store.restore(copy))
+            forgotten = await count_calls_after(cluster, cluster.store.drop_history)
+            snapshot = cluster.store.snapshot()
+            restored = await count_calls_after(cluster, lambda: cluster.store.restore(snapshot))
             assert restored <= forgotten
 
     run(scenario)
@@ -214,13 +214,13 @@
     async def scenario():
         async with watching_fleet() as cluster:
             await wait_until_watching(cluster)
-            copy = cluster.store.copy()
+            snapshot = cluster.store.snapshot()
             for _ in range(2):
                 cluster.store.write("evacuations", "two", {"zone": "two"})
                 await wait_at_all_daemons(
                     cluster, lambda daemon: bool(daemon.view.drains.drains)
                 )
-                cluster.store.restore(copy)
+                cluster.store.restore(snapshot)
                 await wait_at_all_daemons(cluster, lambda daemon: not daemon.view.drains.drains)
 
     run(scenario)
--- a/test/test_store_trouble.py
+++ b/test/test_store_trouble.py
@@ -17,7 +17,7 @@
 from fleet_adapter.wire import KINDS
 from fleet_standins.store import Fault
 from standins.cluster import eventually
-from standins.plainbackend import Trouble
+from standins.plainbackend import ServerFault
 from test.helper import run
 from test.routed_fleet import configuration, fleet
 
@@ -71,9 +71,9 @@
     async def scenario():
         async with fleet("a", "b", "c") as cluster:
             cluster.store.fault = fault
-            cluster.store.lapse(KINDS[INSTANCE_KIND])
+            cluster.store.expire_objects(KINDS[INSTANCE_KIND])
             if loses_history:
-                cluster.store.forget()
+                cluster.store.drop_history()
             calls = len(cluster.store.calls)
 
             async def has_noticed():
@@ -176,7 +176,7 @@
 
             # Without an open watch no daemon would see the removal, as the next call fails.
             await eventually(list_is_watched)
-            cluster.store.lapse(KINDS[INSTANCE_KIND])
+            cluster.store.expire_objects(KINDS[INSTANCE_KIND])
             cluster.store.fault = Fault.BUSY  # so that the entries are not written again
 
             async def is_list_empty():
@@ -209,7 +209,7 @@
                 return member_names() == ["a"]
 
             await eventually(has_both)
-            cluster.store.lapse(KINDS[INSTANCE_KIND])
+            cluster.store.expire_objects(KINDS[INSTANCE_KIND])
             await eventually(has_only_live)
 
     run(scenario)
@@ -254,7 +254,9 @@
             # No server of `rolls` runs, so its part can only be refused.
             assert set(statuses) == {200, 503}
             assert 15 <= statuses.count(503) <= 45
-            run_count = sum(len(backend.ran) for backend in cluster.backends.values())
+            run_count = sum(
+                len(backend.run_request_ids) for backend in cluster.backends.values()
+            )
             assert run_count == statuses.count(200)
 
     run(scenario)
@@ -263,7 +265,7 @@
 def test_a_split_part_that_sheds_requests_is_not_replaced():
     async def scenario():
         async with fleet("a") as cluster:
-            cluster.backends["a"].trouble = Trouble.SHED
+            cluster.backends["a"].fault = ServerFault.SHED
             split = configuration(2)
             split["routes"]["view"]["service"] = ""
             split["routes"]["view"]["traffic_split"] = [{"service": "papers", "weight": 1}]
--- a/test/test_turned_away.py
+++ b/test/test_turned_away.py
@@ -44,10 +44,10 @@
 async def shut_doors(cluster, names, fault):
     """Make the pending and future platform calls of some daemons fail."""
     for name in names:
-        cluster.doors[name].shut(fault)
+        cluster.doors[name].block(fault)
 
     async def are_all_shut():
-        return all(cluster.doors[name].passing == 0 for name in names)
+        return all(cluster.doors[name].calls_in_flight == 0 for name in names)
 
     await eventually(are_all_shut)
 
--- a/test/test_zone_drains.py
+++ b/test/test_zone_drains.py
@@ -110,7 +110,9 @@
             await wait_until_in_force(cluster, "one")
             answers = [await request for request in requests]
             assert {status for status, _, _ in answers} <= {200, 503}
-            run_requests = [r for backend in cluster.backends.values() for r in backend.ran]
+            run_requests = [
+                r for backend in cluster.backends.values() for r in backend.run_request_ids
+            ]
             assert len(run_requests) == [status for status, _, _ in answers].count(200)
 
     run(scenario)
@@ -208,10 +210,10 @@
         async with two_zone_fleet() as cluster:
             drain_zone(cluster, "one")
             await wait_until_in_force(cluster, "one")
-            cluster.store.forget()
+            cluster.store.drop_history()
             restore_zone(cluster, "one")
             drain_zone(cluster, "two")
-            cluster.store.forget()
+            cluster.store.drop_history()
             await wait_until_in_force(cluster, "two")
 
     run(scenario)
@@ -220,7 +222,7 @@
 def test_a_stale_read_does_not_undo_a_drain():
     async def scenario():
         async with two_zone_fleet() as cluster:
-            cluster.store.keep_stale()
+            cluster.store.freeze_stale_reads()
             drain_zone(cluster, "one")
             await wait_until_in_force(cluster, "one")
             reader = cluster.daemons["a"].feed._reader
