--- a/packages/wheatslip/wheatslip/store/objectclient.py
+++ b/packages/wheatslip/wheatslip/store/objectclient.py
@@ -26,11 +26,9 @@
 if TYPE_CHECKING:
     import aiohttp
 
-# Longest time without a byte of the response; a watch adds the time that it waits.
-IDLE_TIMEOUT_SECONDS = 2.0
-# Added to the idle timeout for the whole response: a bundle of 16 MB at 1 MB/s.
-TRANSFER_TIMEOUT_SECONDS = 16.0
-MAX_READ_BACKS = 5  # of an update whose response was lost
+IDLE_TIMEOUT_SECONDS = 2.0  # without a byte of the response; a watch adds its wait
+TRANSFER_TIMEOUT_SECONDS = 16.0  # added for the whole response: 16 MB at 1 MB/s
+MAX_READ_BACKS = 5  # reads of an object after the response to its update was lost
 
 
 class WriteBody(msgspec.Struct, frozen=True):
@@ -142,14 +140,14 @@
         if self._session is None:
             self._session = aiohttp.ClientSession()
         self.calls += 1
-        limit = aiohttp.ClientTimeout(
+        timeouts = aiohttp.ClientTimeout(
             total=timeout + TRANSFER_TIMEOUT_SECONDS,
             sock_connect=IDLE_TIMEOUT_SECONDS,
             sock_read=timeout,
         )
         try:
             async with self._session.request(
-                method, self._base + path, data=body, timeout=limit
+                method, self._base + path, data=body, timeout=timeouts
             ) as response:
                 return Ok((response.status, await response.read()))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
--- a/packages/wheatslip/wheatslip/store/objects.py
+++ b/packages/wheatslip/wheatslip/store/objects.py
@@ -14,9 +14,7 @@
 
 from wheatslip.store.backoff import BACKOFF_MAX_SECONDS, Backoff
 
-# Longest wait of one watch call. Without changes it returns an empty listing after that time,
-# which confirms the version.
-WATCH_SECONDS = 5.0
+WATCH_SECONDS = 5.0  # longest wait of a watch; an empty listing then confirms the version
 
 
 class StoredObject(msgspec.Struct, frozen=True):
@@ -121,18 +119,18 @@
     """
     backoff = Backoff(rng, last=backoff_last)
     version = since
-    # After a failure the next watch does not wait for changes, so that a recovery of the
-    # platform is detected at once.
-    wait_now = wait if since is None else 0.0
+    # After a failure the next watch returns at once, so that a recovery of the platform is
+    # detected without waiting for a change.
+    next_wait = wait if since is None else 0.0
     while True:
         if version is None:
             answer: Result[Listing, ReadError] = await client.list(kind)
         else:
-            answer = await client.changes(kind, version, wait_now)
+            answer = await client.changes(kind, version, next_wait)
         match answer:
             case Ok(listing):
                 backoff.reset()
-                wait_now = wait
+                next_wait = wait
                 version = listing.version
                 yield listing
                 if listing.items:
@@ -141,5 +139,5 @@
                 version = None
             case Err(Unavailable() as error):
                 on_error(error)
-                wait_now = 0.0
+                next_wait = 0.0
                 await asyncio.sleep(backoff.next())
--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -1,8 +1,8 @@
 """Registration of the backend server beside a daemon, from the server's heartbeats.
 
-Inputs are heartbeats, deregistrations and health endpoint responses, which may arrive late and
-in any order. They decide whether the server may get new requests. Each start of a server has
-its own id. A server that has reported that it is leaving never gets new requests again.
+Heartbeats, deregistrations and health endpoint responses may arrive late and in any order. They
+decide whether the server may get new requests. Each start of a server has its own id. A server
+that has reported that it is leaving never gets new requests again.
 
 A heartbeat with a new id may be from a server that has just replaced the current one, or a late
 one from a server that crashed earlier. The id in the health endpoint's response decides. This
@@ -16,9 +16,7 @@
 import msgspec
 
 MAX_RETIRED_IDS = 1000  # ids of former servers whose late heartbeats are ignored
-# Time between two heartbeats of a new id after which it is registered without a response of the
-# health endpoint. It must be less than the heartbeat interval of a running server, and more
-# than the interval between late heartbeats of a dead one, which arrive together.
+# Less than a heartbeat interval, more than the time in which late heartbeats arrive together.
 CLAIM_CONFIRM_SECONDS = 1.0
 
 
@@ -115,7 +113,7 @@
 
         `warm_at` is when the server will have warmed up; None: not stated. The id always
         resolves a dispute. Otherwise the response is used only until the first heartbeat, since
-        its status may be wrong either way.
+        it may report a running server as failed or a failed one as healthy.
         """
         if self._claim is not None:
             return self._resolve_dispute(server)
@@ -125,7 +123,9 @@
         return True
 
     def _confirms_claim(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
-        """Records a claim; returns whether it has lasted for `CLAIM_CONFIRM_SECONDS`."""
+        """Records the first heartbeat of a new id as a claim. Returns whether a later heartbeat
+        confirms it after `CLAIM_CONFIRM_SECONDS`, without a response of the health endpoint.
+        """
         if self._claim is None or self._claim.server != server:
             self._claim = _Claim(server, heartbeat, now)
             return False
