--- a/packages/wheatslip/wheatslip/distribution/chunks.py
+++ b/packages/wheatslip/wheatslip/distribution/chunks.py
@@ -28,9 +28,9 @@
     """Yields the chunks of a message, at least one."""
     is_packed = len(message) >= COMPRESS_FROM_BYTES
     data = zlib.compress(message, ZLIB_LEVEL) if is_packed else message
-    last = max(0, len(data) - 1) // CHUNK_BYTES * CHUNK_BYTES
-    for start in range(0, last + 1, CHUNK_BYTES):
-        yield Chunk(data[start : start + CHUNK_BYTES], start == last, is_packed)
+    last_start = max(0, len(data) - 1) // CHUNK_BYTES * CHUNK_BYTES
+    for start in range(0, last_start + 1, CHUNK_BYTES):
+        yield Chunk(data[start : start + CHUNK_BYTES], start == last_start, is_packed)
 
 
 class Joiner:
--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -70,12 +70,12 @@
 
 
 class FeedCache:
-    """The copy and its latest changes."""
+    """The daemon's copy of the shared state, and its latest changes."""
 
     def __init__(self) -> None:
         self.as_of = 0.0
         self.checked = 0.0
-        self.listed = 0
+        self.listed = 0  # version of the instance list
         self.instances: dict[str, Instance] = {}
         self._versions: dict[str, int] = {}  # version of the last change, by instance name
         self.head: Head | None = None
--- a/packages/wheatslip/wheatslip/distribution/relaytree.py
+++ b/packages/wheatslip/wheatslip/distribution/relaytree.py
@@ -2,7 +2,7 @@
 
 There is no election: each daemon computes both from the instance list. It orders the members of
 a zone by the hash of their names. The first members are the watchers, which read the platform.
-Every other daemon follows a parent that precedes it in that order.
+Every other daemon follows (receives updates from) a parent that precedes it in that order.
 
 The watchers of all zones also follow each other in one ring. An update that reaches any watcher
 reaches every zone, including a zone whose watchers get no answer from the platform.
@@ -35,9 +35,9 @@
     if is_watcher(name, order, watchers):
         return []
     position = order.index(name)
-    first = (position - watchers) // FANOUT
-    second = (first + 1) % position
-    parents = dict.fromkeys((first, second, *range(watchers)))
+    first_parent = (position - watchers) // FANOUT
+    second_parent = (first_parent + 1) % position
+    parents = dict.fromkeys((first_parent, second_parent, *range(watchers)))
     return [order[parent] for parent in parents]
 
 
