--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -4,9 +4,8 @@
 decisions. All requests to a backend server go through one `Admission`, so its count of running
 requests is exact.
 
-Requests arrive in bursts that exceed the slots of the server, while its speed changes. A
-request that would be answered too late is refused at once, so that its sender can try another
-server or its caller can retry; one that may be answered in time waits.
+A request that would be answered too late is refused at once, so that its sender can try another
+server or its caller can retry. A request that may be answered in time waits.
 
 The rules in the order in which they apply to a new request:
 
@@ -60,7 +59,7 @@
     cold: ColdStartLimiter = field(init=False, default_factory=ColdStartLimiter)
     _queue: GateQueue = field(init=False)
     _running: set[Ticket] = field(init=False, default_factory=set)
-    # Whether a request had to wait or was refused since the last recorded service time.
+    # Whether requests found no capacity or waited since the last recorded service time.
     _was_full: bool = field(init=False, default=False)
 
     def __post_init__(self) -> None:
@@ -111,8 +110,8 @@
             return self.cold.wait(0, now)
         urgent = call.call_class is CallClass.URGENT
         ahead = self._queue.count_ahead(call.workspace, urgent=urgent)
-        for_slot = (ahead + 1) / self.limit.value * self.timing.current_service_time(now)
-        return max(for_slot, self.cold.wait(ahead, now))
+        slot_wait = (ahead + 1) / self.limit.value * self.timing.current_service_time(now)
+        return max(slot_wait, self.cold.wait(ahead, now))
 
     def cold_start_wait(self, now: float) -> float | None:
         """Returns the seconds until a waiting request may start if it waits only because the
@@ -129,8 +128,10 @@
         limit = self.limit.value
         if self.cold.rate is None or not self.cold.is_cold(now):
             return limit
-        kept_busy = ceil(self.cold.rate.per_second * self.timing.current_service_time(now))
-        return max(1, min(limit, kept_busy))
+        sustained_concurrency = ceil(
+            self.cold.rate.per_second * self.timing.current_service_time(now)
+        )
+        return max(1, min(limit, sustained_concurrency))
 
     def arrive(self, call: Call, now: float, max_wait: float = UNLIMITED) -> Ticket | NotRun:
         """Admits or refuses a request. A returned ticket with a start time runs, one without
@@ -181,14 +182,14 @@
 
     def dequeue_for_other_servers(self, now: float) -> list[Ticket]:
         """Removes and returns the tickets that another, faster server should take."""
-        redirected = [
+        redirected_tickets = [
             ticket
             for ticket in self._queue
             if should_try_elsewhere(self.timing, ticket.call, ticket.max_wait, now)
         ]
-        for ticket in redirected:
+        for ticket in redirected_tickets:
             self._queue.remove(ticket)
-        return redirected
+        return redirected_tickets
 
     def withdraw(self, ticket: Ticket) -> bool:
         """Removes a waiting ticket from the queue; returns False if it is not waiting."""
@@ -198,20 +199,20 @@
 
     def admit(self, now: float) -> list[Ticket]:
         """Starts waiting requests while there is capacity, and returns their tickets."""
-        started = []
-        postponed = []
+        started_tickets = []
+        postponed_tickets = []
         while self._has_capacity(now):
             ticket = self._queue.pop()
             if ticket is None:
                 break
             if should_wait_out_slow_period(self.timing, ticket.call, now):
-                postponed.append(ticket)
+                postponed_tickets.append(ticket)
             elif not self._requeue_if_late(ticket, now):
                 self._start(ticket, now)
-                started.append(ticket)
-        for ticket in postponed:
+                started_tickets.append(ticket)
+        for ticket in postponed_tickets:
             self._queue.push(ticket)
-        return started
+        return started_tickets
 
     def expire(self, ticket: Ticket, now: float) -> bool:
         """Removes a waiting ticket whose latest start has passed from the queue. Returns
--- a/packages/wheatslip/wheatslip/admission/coldstart.py
+++ b/packages/wheatslip/wheatslip/admission/coldstart.py
@@ -14,18 +14,15 @@
 | the starts are ahead of their even spacing by more than the burst | it waits for the next \
 evenly spaced start |
 
-The limit applies to any window of one second. Starts are spaced evenly, with a small burst, so
-that a daemon that restarts within such a window stays below the limit too, although it does not
-know the earlier starts: a restart takes a third of a second.
+The limit applies to any window of one second. The even spacing keeps a daemon that restarts
+within such a window below the limit, although it does not know the starts before its restart.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
 WINDOW_SECONDS = 1.0  # the platform limits the requests per second at a cold server
-# Part of the pool's slack that is used for a burst. The rest is for starts that are delayed by
-# a new connection: those of up to a quarter of a second may reach the server together
-# (`connect-timeout`).
+# The rest of the slack is for starts that a new connection delays, up to `connect-timeout`.
 BURST_SHARE_OF_SLACK = 0.5
 
 
--- a/packages/wheatslip/wheatslip/admission/gatequeue.py
+++ b/packages/wheatslip/wheatslip/admission/gatequeue.py
@@ -11,8 +11,7 @@
 from wheatslip.call import CallClass
 from wheatslip.fairqueue import FairQueue
 
-# Added to the deadline of a late request, so that it is ordered after all that are not late.
-# Must be larger than any time of the monotonic clock.
+# Orders late requests after all others; larger than any time of the monotonic clock.
 LATE_OFFSET_SECONDS = 1e9
 
 
--- a/packages/wheatslip/wheatslip/admission/slowserver.py
+++ b/packages/wheatslip/wheatslip/admission/slowserver.py
@@ -20,11 +20,8 @@
 from wheatslip.admission.timing import ServiceTiming
 from wheatslip.call import UNLIMITED, Call
 
-# Largest part of the time left to its target that a call may take on a slow server; below 1 to
-# allow for the error of the estimate.
-MAX_SHARE_OF_TARGET = 0.9
-# Cost of a refusal although the server has become fast again (another attempt, or a wait until
-# the server is probed), as a fraction of the value of a response within its target.
+MAX_SHARE_OF_TARGET = 0.9  # of the time left to it; below 1 for the error of the estimate
+# Of a refusal by a server that is fast again; the value of a response within its target is 1.
 NEEDLESS_REFUSAL_COST = 0.1
 
 
@@ -60,16 +57,16 @@
     It is above 0 only for a call that meets its target on a fast server and misses it on a slow
     one: the probe may prevent a slow start, or a refusal that is based on an old report.
     """
-    left = min(call.target, call.deadline) - now
+    time_left = min(call.target, call.deadline) - now
     base_call_time = timing.base_call_time(call, now)
-    if base_call_time > left or base_call_time * timing.speed.slow_factor <= left:
+    if base_call_time > time_left or base_call_time * timing.speed.slow_factor <= time_left:
         return 0.0
-    slow = timing.speed.slow_probability(now)
-    return (1.0 - slow) * NEEDLESS_REFUSAL_COST if timing.in_slow_period else slow
+    probability = timing.speed.slow_probability(now)
+    return (1.0 - probability) * NEEDLESS_REFUSAL_COST if timing.in_slow_period else probability
 
 
 def is_probe_due(timing: ServiceTiming, reported_at: float, now: float) -> bool:
     """Whether a slow period has probably ended since the last report, so that a probe can
-    inform the entries that the server is fast again.
+    inform the sending daemons that the server is fast again.
     """
     return now - reported_at >= timing.speed.mean_slow_period_seconds
--- a/packages/wheatslip/wheatslip/admission/ticket.py
+++ b/packages/wheatslip/wheatslip/admission/ticket.py
@@ -4,13 +4,12 @@
 
 from wheatslip.call import UNLIMITED, Call
 
-# Largest part of the starts that urgent requests may take while others wait.
-DEFAULT_URGENT_SHARE = 0.25
+DEFAULT_URGENT_SHARE = 0.25  # largest part of urgent starts while other requests wait
 
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One request at a gate. `started` is None while it waits."""
+    """One request at a gate. Times in seconds, monotonic; `started` is None while it waits."""
 
     call: Call
     arrived: float
--- a/packages/wheatslip/wheatslip/admission/timing.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -36,21 +36,14 @@
 from wheatslip.servicetimes import ServiceTimes
 from wheatslip.speed import SLOW_THRESHOLD, USUAL_SLOWNESS, SpeedModel
 
-# Largest ratio of two slowness values that count as the same speed.
-SAME_SLOWNESS_RATIO = 1.3
-# Service time that is assumed for a kind of request without samples, as a part of the time to
-# its target.
-UNSEEN_KIND_SHARE = 0.3
-# Mean age of the running requests, in mean service times, from which the server counts as
-# slowed down. At a random time the mean age is at most about one mean service time.
-STALL_AGE_FACTOR = 2
-
-# Largest parts of the remaining time that a request may take if it starts after its latest
-# start.
+SAME_SLOWNESS_RATIO = 1.3  # largest ratio of two values that count as the same speed
+UNSEEN_KIND_SHARE = 0.3  # of the time to the target: service time of a kind without samples
+STALL_AGE_FACTOR = 2  # mean age of running requests, in mean service times; normally up to 1
+
+# Largest parts of the remaining time that a request may take after its latest start.
 LATE_START_TARGET_SHARE = 1.5  # of the time to the target
 LATE_START_DEADLINE_SHARE = 0.4  # of the time to the deadline
-# Of the time to the deadline if half of the slots are free: the request delays no others, and
-# refusing a nested call would make the outer one fail. Below 1 for the error of the estimate.
+# If half of the slots are free: the request delays no others. Below 1 for estimate errors.
 LATE_START_DEADLINE_SHARE_IDLE = 0.8
 
 
@@ -166,8 +159,8 @@
     def latest_start(self, call: Call, now: float) -> float:
         """Time until which a call may wait; see the timeline above."""
         # At most half of the remaining time is reserved, however long the estimate is.
-        needed = min(self.current_call_time(call, now), call.remaining(now) / 2)
-        latest = min(call.deadline - needed, call.hold_until)
+        reserved_seconds = min(self.current_call_time(call, now), call.remaining(now) / 2)
+        latest = min(call.deadline - reserved_seconds, call.hold_until)
         if call.hold_until < UNLIMITED:
             latest = min(latest, call.target - self.base_call_time(call, now))
         return latest
@@ -180,12 +173,12 @@
         deadline is much later than the target prefers a late response over none, so a part of
         the time to the deadline is accepted too.
         """
-        bound = LATE_START_TARGET_SHARE * (call.target - now)
+        max_call_time = LATE_START_TARGET_SHARE * (call.target - now)
         if call.target < UNLIMITED:
             share = LATE_START_DEADLINE_SHARE_IDLE if is_idle else LATE_START_DEADLINE_SHARE
-            bound = max(bound, share * call.remaining(now))
-        return self.current_call_time(call, now) <= bound
+            max_call_time = max(max_call_time, share * call.remaining(now))
+        return self.current_call_time(call, now) <= max_call_time
 
 
-def _is_same_slowness(one: float, other: float) -> bool:
-    return max(one, other) <= SAME_SLOWNESS_RATIO * min(one, other)
+def _is_same_slowness(first: float, second: float) -> bool:
+    return max(first, second) <= SAME_SLOWNESS_RATIO * min(first, second)
