--- a/packages/wheatslip/wheatslip/config/bundle.py
+++ b/packages/wheatslip/wheatslip/config/bundle.py
@@ -16,9 +16,7 @@
 FORMAT = 1  # of the canonical bytes; any other format is refused
 MAX_BUNDLE_BYTES = 1_000_000  # the platform's limit for the value of an object
 
-# Ranges of the numbers in a bundle. Decoding checks them, because not every bundle comes from
-# `bundleini`. A number out of range, such as a rate of 1e308 per second, can stop every daemon
-# that applies the bundle.
+# Checked when decoding: a value such as 1e308 per second can stop every daemon that applies it.
 Seconds = Annotated[float, Meta(ge=0.0, le=604_800.0)]  # at most a week
 Rate = Annotated[float, Meta(ge=0.0, le=1e6)]  # per second
 Share = Annotated[float, Meta(ge=0.001, le=1000.0)]
--- a/packages/wheatslip/wheatslip/config/changes.py
+++ b/packages/wheatslip/wheatslip/config/changes.py
@@ -39,18 +39,20 @@
 
 
 def _compare(item_type: str, old: Iterable[Item], new: Iterable[Item]) -> Iterable[Change]:
-    before = {item.name: item for item in old}
-    after = {item.name: item for item in new}
-    for name in before.keys() | after.keys():
+    old_items = {item.name: item for item in old}
+    new_items = {item.name: item for item in new}
+    for name in old_items.keys() | new_items.keys():
         label = f"{item_type} {name}"
-        if name not in before:
+        if name not in old_items:
             yield Change(ChangeKind.ADDED, label)
-        elif name not in after:
+        elif name not in new_items:
             yield Change(ChangeKind.REMOVED, label)
-        elif before[name] != after[name]:
-            yield Change(ChangeKind.CHANGED, label, _changed_fields(before[name], after[name]))
+        elif old_items[name] != new_items[name]:
+            yield Change(
+                ChangeKind.CHANGED, label, _changed_fields(old_items[name], new_items[name])
+            )
 
 
-def _changed_fields(before: Item, after: Item) -> tuple[str, ...]:
-    names = before.__struct_fields__
-    return tuple(name for name in names if getattr(before, name) != getattr(after, name))
+def _changed_fields(old: Item, new: Item) -> tuple[str, ...]:
+    names = old.__struct_fields__
+    return tuple(name for name in names if getattr(old, name) != getattr(new, name))
--- a/packages/wheatslip/wheatslip/config/deltas.py
+++ b/packages/wheatslip/wheatslip/config/deltas.py
@@ -63,13 +63,13 @@
 
 
 def _changed_items(old: Iterable[Item], new: Iterable[Item]) -> tuple[Item, ...]:
-    before = {item.name: item for item in old}
-    return tuple(item for item in new if before.get(item.name) != item)
+    old_items = {item.name: item for item in old}
+    return tuple(item for item in new if old_items.get(item.name) != item)
 
 
 def _removed_names(old: Iterable[Item], new: Iterable[Item]) -> tuple[str, ...]:
-    after = {item.name for item in new}
-    return tuple(item.name for item in old if item.name not in after)
+    new_names = {item.name for item in new}
+    return tuple(item.name for item in old if item.name not in new_names)
 
 
 def _apply_changes(
--- a/packages/wheatslip/wheatslip/config/drainrequests.py
+++ b/packages/wheatslip/wheatslip/config/drainrequests.py
@@ -1,4 +1,4 @@
-"""Commands of an operator on the zone drains at the platform: drain, restore and list."""
+"""Operator commands for the zone drains at the platform: drain, restore and list."""
 
 import msgspec
 from result import Err, Ok, Result
--- a/packages/wheatslip/wheatslip/config/releases.py
+++ b/packages/wheatslip/wheatslip/config/releases.py
@@ -1,4 +1,4 @@
-"""Commands of an operator on the bundles at the platform: propose, sign and roll out.
+"""Operator commands for the bundles at the platform: propose, sign and roll out.
 
 All writes are conditional updates: if two operators roll out bundles concurrently, one succeeds
 and the other gets `VersionConflict` with the version in force.
@@ -103,12 +103,12 @@
     ) -> Result[Proposal, ReleaseError]:
         """Adds an operator's signature to a proposal, or replaces it if there is one."""
         for _ in range(MAX_SIGN_ATTEMPTS):
-            loaded = await self._load(version, digest)
-            if isinstance(loaded, Err):
-                return loaded
-            proposal = loaded.ok_value
-            others = [s for s in proposal.signed.signatures if s.operator != operator]
-            signatures = (*others, sign(proposal.bundle, operator, key))
+            load_result = await self._load(version, digest)
+            if isinstance(load_result, Err):
+                return load_result
+            proposal = load_result.ok_value
+            other_signatures = [s for s in proposal.signed.signatures if s.operator != operator]
+            signatures = (*other_signatures, sign(proposal.bundle, operator, key))
             signed = SignedBundle(proposal.signed.body, signatures)
             stored = proposal.stored
             answer = await self._client.put(stored.kind, stored.name, signed, stored.version)
@@ -123,13 +123,13 @@
 
     async def roll_out(self, version: int, digest: str) -> Result[Head, ReleaseError]:
         """Puts a signed bundle in force if it is the next version after the current one."""
-        loaded = await self._load(version, digest)
-        if isinstance(loaded, Err):
-            return loaded
-        proposal = loaded.ok_value
-        verified = verify(proposal.signed, self._keyring)
-        if isinstance(verified, Err):
-            return Err(Refused(f"version {version}: {verified.err_value}"))
+        load_result = await self._load(version, digest)
+        if isinstance(load_result, Err):
+            return load_result
+        proposal = load_result.ok_value
+        verify_result = verify(proposal.signed, self._keyring)
+        if isinstance(verify_result, Err):
+            return Err(Refused(f"version {version}: {verify_result.err_value}"))
         return await self._update_head(Head(version, proposal.bundle.digest()), proposal)
 
     async def _update_head(self, new: Head, proposal: Proposal) -> Result[Head, ReleaseError]:
@@ -144,15 +144,15 @@
             return Err(VersionConflict(current))
         await self._store_delta(current, new, proposal)
         expected = stored.version if stored else 0
-        written = await self._client.put(HEAD_KIND, HEAD_NAME, new, expected)
-        if isinstance(written, Ok):
+        write_result = await self._client.put(HEAD_KIND, HEAD_NAME, new, expected)
+        if isinstance(write_result, Ok):
             return Ok(new)
-        match written.err_value:
+        match write_result.err_value:
             case Unavailable() as error:
                 return Err(error)
-            case Conflict(StoredObject() as newer):
-                winner = _decode_head(newer)
-                return Ok(new) if winner == new else Err(VersionConflict(winner))
+            case Conflict(StoredObject() as newer_object):
+                head_in_force = _decode_head(newer_object)
+                return Ok(new) if head_in_force == new else Err(VersionConflict(head_in_force))
         return Err(Refused("the head was deleted during the rollout"))
 
     async def _store_delta(self, current: Head, new: Head, proposal: Proposal) -> None:
@@ -160,10 +160,10 @@
 
         Errors are ignored, because daemons read the whole bundle if there is no delta.
         """
-        loaded = await self._load(current.version, current.digest)
-        if isinstance(loaded, Err):
+        load_result = await self._load(current.version, current.digest)
+        if isinstance(load_result, Err):
             return
-        old = loaded.ok_value.bundle
+        old = load_result.ok_value.bundle
         delta = delta_between(old, proposal.bundle, new, proposal.signed.signatures)
         name = bundle_name(new.version, new.digest)
         await self._client.put(DELTA_KIND, name, delta, expected=0)
