--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -10,7 +10,7 @@
 | --------------------------------------- | ---------- | ---------------- | ------------ |
 | answer with a status of 500 or more,    | repeatable | backend try      | yes          |
 | no part of it sent to the caller yet    |            |                  |              |
-| answer                                  | any        | never retried    | it has       |
+| answer                                  | any        | never retried    | yes          |
 | not run, a reason not in `RETRYABLE`    | any        | never retried    | no           |
 | not run, shed by the server itself      | any        | backend try      | no           |
 | not run, overloaded: a bounce           | any        | nothing          | no           |
@@ -23,9 +23,10 @@
 
 - "Budget": a token of the retry budget, which the retry consumes. "Backend try": the same, and
   fewer than `Call.max_attempts` tries have reached a backend server.
-- Every retry also requires that the request can still be sent whole (`can_resend`), that fewer
-  than `MAX_TRIES` tries were made and that an upstream is left. A call bound by its key has one
-  try. The forwarder does not retry after it has sent a part of an answer to the caller.
+- Every retry also requires that the request can still be sent in full (`can_resend`), that
+  fewer than `MAX_TRIES` tries were made and that an upstream is left. A call that its key
+  limits to one execution has one try. The forwarder does not retry after it has sent a part of
+  an answer to the caller.
 - An answer of the first row that is not retried goes to the caller.
 - A bounce is a refusal by a gate where the call would wait longer than the try's `max_wait`.
 
@@ -45,9 +46,7 @@
 from wheatslip.retryafter import NO_SERVER
 from wheatslip.upstream import Upstream
 
-# Limit for all tries of a call, including those that reached no backend server, which
-# `Call.max_attempts` does not count.
-MAX_TRIES = 6
+MAX_TRIES = 6  # per call, including those that `Call.max_attempts` does not count
 SERVER_ERROR = 500  # lowest HTTP status that is a failure of the backend server
 
 
@@ -127,7 +126,7 @@
         """
         if status < SERVER_ERROR or not self.call.kind.repeatable:
             return False
-        if not self._pay_for_backend_try(self.backend_tries + 1):
+        if not self._take_token_for_backend_try(self.backend_tries + 1):
             return False
         self.backend_tries += 1
         self._current_may_have_run = False
@@ -149,20 +148,20 @@
 
     def _choose(self, upstreams: Sequence[Upstream], now: float) -> Try | None:
         if self.call.is_at_most_once:
-            owning = self._key_owner(upstreams)
-            return Try(owning, UNLIMITED) if owning else None
-        chosen = self.chooser.pick(upstreams, now, self._tried)
-        if chosen is None:
+            key_owner = self._key_owner(upstreams)
+            return Try(key_owner, UNLIMITED) if key_owner else None
+        upstream = self.chooser.pick(upstreams, now, self._tried)
+        if upstream is None:
             # All were tried: queue at the best of those that only bounced the call.
-            busy = [u for u in upstreams if u.name in self._bounced]
-            chosen = self.chooser.pick_shortest_wait(busy, now, self.call.target)
-            return Try(chosen, UNLIMITED) if chosen else None
-        return Try(chosen, self._max_wait_at(chosen, upstreams, now))
+            bounced_upstreams = [u for u in upstreams if u.name in self._bounced]
+            upstream = self.chooser.pick_shortest_wait(bounced_upstreams, now, self.call.target)
+            return Try(upstream, UNLIMITED) if upstream else None
+        return Try(upstream, self._max_wait_at(upstream, upstreams, now))
 
     def _max_wait_at(
-        self, chosen: Upstream, upstreams: Sequence[Upstream], now: float
+        self, upstream: Upstream, upstreams: Sequence[Upstream], now: float
     ) -> float:
-        """Longest wait, in seconds, at the gate of `chosen`.
+        """Longest wait, in seconds, at the gate of `upstream`.
 
         A bounce puts no load on the backend server, but after `max_bounces` of them the call
         queues at the upstream it is sent to.
@@ -170,8 +169,8 @@
         settings = self.chooser.settings
         if len(self._bounced) >= settings.max_bounces:
             return UNLIMITED
-        left = self._tried | {chosen.name}
-        if self._bounced or self.chooser.has_untried(upstreams, now, left):
+        tried_names = self._tried | {upstream.name}
+        if self._bounced or self.chooser.has_untried(upstreams, now, tried_names):
             return settings.bounce_wait
         return UNLIMITED
 
@@ -180,7 +179,7 @@
             return False
         if refusal.reason is Reason.SHED:
             self.backend_tries += 1
-            return self._pay_for_backend_try(self.backend_tries)
+            return self._take_token_for_backend_try(self.backend_tries)
         if refusal.reason is Reason.OVERLOADED:
             return self._retry_after_overload()
         return True
@@ -197,15 +196,16 @@
     def _retry_after_unknown(self, outcome: Unknown) -> bool:
         self._may_have_run = outcome
         if outcome.reason is Reason.UNACKNOWLEDGED:
-            # The machine is lost, so the retry is not charged to the budget, which limits the
-            # load on backend servers. Every entry detects every lost machine on its own: in a
-            # large fleet, where an entry's share of the budget is below one token, most of
-            # these calls would fail.
+            # The retry is not charged to the budget, which limits the load on backend servers:
+            # the machine is lost. Each entry detects the loss on its own, and in a large fleet
+            # an entry's share of the budget is below one token, so most calls would fail.
             return self.call.kind.repeatable and self.can_resend
         self.backend_tries += 1
-        return self.call.kind.repeatable and self._pay_for_backend_try(self.backend_tries)
+        return self.call.kind.repeatable and self._take_token_for_backend_try(
+            self.backend_tries
+        )
 
-    def _pay_for_backend_try(self, backend_tries: int) -> bool:
+    def _take_token_for_backend_try(self, backend_tries: int) -> bool:
         """Takes a budget token for a retry after `backend_tries` tries at backend servers.
 
         Returns false and takes nothing if the call may not be retried.
@@ -215,8 +215,8 @@
         return self.budget.take()
 
     def _key_owner(self, upstreams: Sequence[Upstream]) -> Upstream | None:
-        """The owner of the call's key, the only upstream for a call bound by its key; None
-        after the first try.
+        """The owner of the call's key, the only upstream for a call that the key limits to
+        one execution; None after the first try.
         """
         if self.tries:
             return None
--- a/packages/wheatslip/wheatslip/budget.py
+++ b/packages/wheatslip/wheatslip/budget.py
@@ -81,10 +81,10 @@
     def advance(self, now: float) -> None:
         """Moves the window to `now` and drops the buckets before it."""
         self._now = now
-        step = self.bound.window / WINDOW_BUCKETS
-        if not self._buckets or now >= self._buckets[-1].since + step:
+        bucket_seconds = self.bound.window / WINDOW_BUCKETS
+        if not self._buckets or now >= self._buckets[-1].since + bucket_seconds:
             self._buckets.append(_WindowBucket(now))
-        while self._buckets[0].since < now - self.bound.window - step:
+        while self._buckets[0].since < now - self.bound.window - bucket_seconds:
             self._buckets.popleft()
 
     def on_request(self) -> None:
@@ -92,9 +92,9 @@
 
     def take(self) -> bool:
         # A bucket that lies partly before the window counts with its retries but not with its
-        # requests, so that the limit is never exceeded.
-        begin = self._now - self.bound.window
-        requests = sum(b.requests for b in self._buckets if b.since >= begin)
+        # requests, so that the error allows too few retries rather than too many.
+        window_start = self._now - self.bound.window
+        requests = sum(b.requests for b in self._buckets if b.since >= window_start)
         retries = sum(bucket.retries for bucket in self._buckets)
         allowed = self.bound.share * requests + self._reserve()
         if retries + 1 > allowed:
--- a/packages/wheatslip/wheatslip/callerwait.py
+++ b/packages/wheatslip/wheatslip/callerwait.py
@@ -11,8 +11,7 @@
 # The longest deadline of a route is taken from the current and the previous window.
 DEADLINE_WINDOW_SECONDS = 10.0
 MAX_ROUTES = 10_000  # limits memory; the oldest route is evicted
-# An attempt with at least this part of the longest deadline is a first attempt. It is below 1
-# because some time passes before a caller writes its request.
+# Of the longest deadline, for a first attempt; below 1, since writing a request takes time.
 FIRST_ATTEMPT_SHARE = 0.97
 
 
@@ -35,15 +34,19 @@
         """Returns the seconds since the first attempt of a caller whose deadline is `remaining`
         seconds away; 0 for a first attempt.
         """
-        longest = self._routes.get(route)
-        if longest is None:
-            longest = self._routes[route] = _LongestDeadlines(now)
+        deadlines = self._routes.get(route)
+        if deadlines is None:
+            deadlines = self._routes[route] = _LongestDeadlines(now)
             if len(self._routes) > MAX_ROUTES:
                 self._routes.popitem(last=False)
-        if now - longest.since >= DEADLINE_WINDOW_SECONDS:
-            longest.previous = longest.current
-            longest.current = 0.0
-            longest.since = now
-        longest.current = max(longest.current, remaining)
-        full = max(longest.current, longest.previous)
-        return 0.0 if remaining >= FIRST_ATTEMPT_SHARE * full else full - remaining
+        if now - deadlines.since >= DEADLINE_WINDOW_SECONDS:
+            deadlines.previous = deadlines.current
+            deadlines.current = 0.0
+            deadlines.since = now
+        deadlines.current = max(deadlines.current, remaining)
+        longest_deadline = max(deadlines.current, deadlines.previous)
+        return (
+            0.0
+            if remaining >= FIRST_ATTEMPT_SHARE * longest_deadline
+            else longest_deadline - remaining
+        )
--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -43,31 +43,21 @@
 
 __all__ = ["Chooser", "ChooserSettings", "Upstream"]
 
-# Number of service times in which the weight of a load report decays to 1/e.
-REPORT_DECAY_SERVICE_TIMES = 4.0
-# Weights in the utilization of a server: of this entry's requests in flight and of the load in
-# reports. A high weight of reports causes herding.
-OWN_WEIGHT = 2.0
-REPORT_WEIGHT = 0.5
+REPORT_DECAY_SERVICE_TIMES = 4.0  # in which the weight of a load report decays to 1/e
+OWN_WEIGHT = 2.0  # of this entry's requests in flight, in the utilization of a server
+REPORT_WEIGHT = 0.5  # of the reported load in the utilization; a high one causes herding
 POOL_LOAD_WEIGHT = 0.05  # weight of one report in the mean load and mean limit of a pool
 MIN_SERVICE_SECONDS = 1e-6  # avoids a division by zero
 EQUAL_SERVICE_RATIO = 1.5  # service times up to this ratio count as equal, to ignore noise
-# Share of the picks in which an upstream that has just joined takes part. It must be above 0:
-# without requests the upstream sends no reports during its warm-up.
+# Of the picks, for a new upstream; above 0, since without requests it sends no reports.
 MIN_WARM_UP_SHARE = 0.05
 SLOWNESS_DECAY_SECONDS = 0.05  # time in which a reported slowness decays to 1/e
 COST_JITTER = 0.02  # largest random increase of a cost, relative to the cost
-# Minimum number of candidates from other availability zones. Without them an overloaded zone
-# would not detect free capacity elsewhere.
-MIN_OTHER_ZONE_CANDIDATES = 2
-# Expected wait at a server at its limit, the exponent by which the wait grows up to the limit,
-# and the additional wait per utilization of 1.0 above the limit.
-FULL_WAIT_SERVICE_TIMES = 1.0
-WAIT_EXPONENT = 2
-OVERLOAD_WAIT_SERVICE_TIMES = 2.0
-# Cost at an error rate of 1.0. Without it a server that fails fast would attract requests,
-# since it seems to be idle.
-ERROR_COST_SECONDS = 1.0
+MIN_OTHER_ZONE_CANDIDATES = 2  # so that an overloaded zone detects free capacity elsewhere
+FULL_WAIT_SERVICE_TIMES = 1.0  # expected wait at a server at its limit
+WAIT_EXPONENT = 2  # of the utilization, in the wait at a server below its limit
+OVERLOAD_WAIT_SERVICE_TIMES = 2.0  # additional wait per utilization of 1.0 above the limit
+ERROR_COST_SECONDS = 1.0  # at an error rate of 1.0; a server that fails fast seems idle
 UNHEALTHY_FACTOR = 2.0  # of the cost, if only the list says that an upstream is unhealthy
 
 
@@ -108,7 +98,7 @@
         """The upstream to try next; None if all were tried or are leaving.
 
         If all eligible upstreams are in a pause after a failure, the pick is uniformly random:
-        the failures may be false signs, and sending all requests to one would overload it.
+        the failures may be false positives, and sending all requests to one would overload it.
         """
         eligible = [u for u in upstreams if u.name not in tried and not u.leaving]
         if not eligible:
@@ -165,8 +155,8 @@
         """Whether an upstream takes part in this pick; random while it is warming up."""
         if not upstream.joined or now >= upstream.joined + self.settings.warm_up:
             return True
-        warmth = (now - upstream.joined) / self.settings.warm_up
-        return self.rng.random() < max(MIN_WARM_UP_SHARE, warmth)
+        warm_up_progress = (now - upstream.joined) / self.settings.warm_up
+        return self.rng.random() < max(MIN_WARM_UP_SHARE, warm_up_progress)
 
     def _draw_candidates(self, upstreams: list[Upstream]) -> list[Upstream]:
         """Draws candidates from the entry's own availability zone and a few from other zones.
@@ -207,9 +197,9 @@
         # An upstream without a report gets the pool's mean limit: with a lower one it would
         # seem more loaded than the others and get no requests at light load.
         limit = float(max(1, report.limit)) if report else self._pool_limit or INITIAL_LIMIT
-        own = OWN_WEIGHT * upstream.in_flight / limit + 1 / limit
+        own_load = OWN_WEIGHT * upstream.in_flight / limit + 1 / limit
         if report is None:
-            return own + REPORT_WEIGHT * self._pool_load
+            return own_load + REPORT_WEIGHT * self._pool_load
         age = now - upstream.reported_at
         weight = exp(
             -age / (REPORT_DECAY_SERVICE_TIMES * max(report.service, MIN_SERVICE_SECONDS))
@@ -217,7 +207,7 @@
         current_load = report.in_flight + report.queued
         current_load += upstream.sent_since_report - upstream.done_since_report
         expected_load = weight * current_load / limit + (1.0 - weight) * self._pool_load
-        return own + REPORT_WEIGHT * expected_load
+        return own_load + REPORT_WEIGHT * expected_load
 
     def _queue_cost(self, upstream: Upstream, now: float, target: float) -> float:
         """Expected seconds until an answer according to the last report, plus penalties."""
--- a/packages/wheatslip/wheatslip/fairqueue.py
+++ b/packages/wheatslip/wheatslip/fairqueue.py
@@ -11,10 +11,8 @@
 
 T = TypeVar("T")
 
-# Start tags of idle workspaces that are kept before those in the past are removed.
-MAX_IDLE_START_TAGS = 1000
-# Urgent items that may be dequeued in a row after a time without urgent items.
-MAX_URGENT_CREDIT = 2.0
+MAX_IDLE_START_TAGS = 1000  # above this number, those that virtual time has passed are removed
+MAX_URGENT_CREDIT = 2.0  # urgent items that may be dequeued in a row after a time without any
 
 
 class _WorkspaceQueue(Generic[T]):
@@ -77,8 +75,8 @@
         if not self._queues:
             return None
         # Each item that is not urgent adds credit for urgent ones, up to their share.
-        earned = self.urgent_share / max(1e-9, 1.0 - self.urgent_share)
-        self._urgent_credit = min(MAX_URGENT_CREDIT, self._urgent_credit + earned)
+        credit = self.urgent_share / max(1e-9, 1.0 - self.urgent_share)
+        self._urgent_credit = min(MAX_URGENT_CREDIT, self._urgent_credit + credit)
         workspace = min(self._queues, key=lambda name: self._queues[name].start_tag)
         return self._pop_from(workspace)
 
@@ -86,13 +84,13 @@
         """Estimates how many items would be dequeued before a new one of `workspace`."""
         if urgent:
             return len(self._urgent)
-        own = self._queues.get(workspace)
-        backlog = len(own.heap) if own else 0
-        starts = (backlog + 1) / self._share(workspace)
+        own_queue = self._queues.get(workspace)
+        backlog = len(own_queue.heap) if own_queue else 0
+        rounds = (backlog + 1) / self._share(workspace)
         ahead = backlog + len(self._urgent)
         for name, queue in self._queues.items():
             if name != workspace:
-                ahead += min(len(queue.heap), int(starts * self._share(name)))
+                ahead += min(len(queue.heap), int(rounds * self._share(name)))
         return ahead
 
     def remove(self, workspace: str, item: T) -> bool:
@@ -119,16 +117,16 @@
         """
         if not self._queues:
             return False
-        longest = max(self._queues, key=self._backlog)
-        own = self._queues.get(workspace)
-        own_backlog = (len(own.heap) + 1 if own else 1) / self._share(workspace)
-        if longest == workspace or self._backlog(longest) <= own_backlog:
+        largest_workspace = max(self._queues, key=self._backlog)
+        own_queue = self._queues.get(workspace)
+        own_backlog = (len(own_queue.heap) + 1 if own_queue else 1) / self._share(workspace)
+        if largest_workspace == workspace or self._backlog(largest_workspace) <= own_backlog:
             return False
-        queue = self._queues[longest]
+        queue = self._queues[largest_workspace]
         index = max(range(len(queue.heap)), key=lambda i: queue.heap[i][:2])
         self._evicted.append(queue.heap[index][2])
         self._delete(queue.heap, index)
-        self._remove_if_empty(longest, queue)
+        self._remove_if_empty(largest_workspace, queue)
         return True
 
     def take_evicted(self) -> list[T]:
--- a/packages/wheatslip/wheatslip/fingerprint.py
+++ b/packages/wheatslip/wheatslip/fingerprint.py
@@ -9,8 +9,7 @@
 
 from hashlib import blake2b
 
-# Only this beginning of a body is hashed. An entry buffers as much before it forwards a body,
-# so the fingerprint is known before a backend server gets the request.
+# Of the beginning of a body; an entry buffers as much before a backend server gets the request.
 HASHED_BODY_BYTES = 64 * 1024
 DIGEST_BYTES = 9  # finding a second request with a given fingerprint takes about 2**72 tries
 _SEPARATOR = b"\0"  # cannot occur in a header or a request line
--- a/packages/wheatslip/wheatslip/ledger.py
+++ b/packages/wheatslip/wheatslip/ledger.py
@@ -13,11 +13,10 @@
 # A key that is sent again after its record was dropped gets "unknown" instead of the answer.
 RECORD_SECONDS = 600.0
 MAX_RECORDS = 50_000
-# Limits for the answers kept for re-sends. A re-send whose answer is not kept gets "unknown".
+# Limits for the answers kept for re-sends; a re-send without a kept answer gets "unknown".
 MAX_ANSWER_BYTES = 16 * 1024
 MAX_TOTAL_ANSWER_BYTES = 16 * 1024 * 1024
-# Largest assumed difference between the clocks of a caller and of the daemon. If the real
-# difference is larger, a key that is sent again may run twice.
+# Largest difference to a caller's clock; with a larger one a re-sent key may run twice.
 CALLER_CLOCK_SKEW_SECONDS = 2.0
 UUID7_VERSION = 7  # RFC 9562
 UUID7_TIME_SHIFT = 80  # bits below the time in milliseconds
@@ -86,8 +85,8 @@
         return len(self._records)
 
     def claim(self, workspace: str, key: str, owned_since: float, now: float) -> Claim:
-        """Claims the right to run the request of `key`, which this daemon owns since
-        `owned_since`.
+        """Claims the right to run the request of `key`, which this daemon has owned
+        since `owned_since`.
 
         The request may run only if the state is `FRESH`. The caller must then call `done` or
         `not_run`.
--- a/packages/wheatslip/wheatslip/limit.py
+++ b/packages/wheatslip/wheatslip/limit.py
@@ -11,18 +11,13 @@
 INITIAL_LIMIT = 8
 MIN_LIMIT = 2  # avoids serial execution after the server was slow for some time
 MAX_LIMIT = 1000
-# Weight of one response in the moving average of the service time.
-SERVICE_TIME_WEIGHT = 0.1
-# Ratios of a window's mean service time to the baseline below which the limit grows and above
-# which it shrinks.
+SERVICE_TIME_WEIGHT = 0.1  # of one response in the moving average
+# Ratios of a window's mean service time to the baseline at which the limit changes.
 GROW_BELOW_RATIO = 1.25
 SHRINK_ABOVE_RATIO = 1.6
 SHRINK_FACTOR = 0.9  # applied to the limit once per window
-# Weight of a slower window in the baseline, so that the baseline adapts to a lasting slow-down
-# but not to a short overload.
-BASELINE_WEIGHT = 0.02
-# Service time in seconds that is assumed before the first response.
-INITIAL_SERVICE_TIME_SECONDS = 0.005
+BASELINE_WEIGHT = 0.02  # of a slower window; low, since a short overload is not the baseline
+INITIAL_SERVICE_TIME_SECONDS = 0.005  # assumed before the first response
 
 
 @dataclass(slots=True)
--- a/packages/wheatslip/wheatslip/owners.py
+++ b/packages/wheatslip/wheatslip/owners.py
@@ -9,14 +9,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# Length of the membership history. When older memberships are evicted, a key may seem to be
-# owned for a shorter time than it is, so that fewer old keys run.
-MAX_MEMBERSHIPS = 256
-# Time for which an owner may act after its list was last checked, and which a new owner waits:
-# two watches without changes, with a margin for the relays.
+MAX_MEMBERSHIPS = 256  # an eviction makes ownership seem shorter, so that fewer old keys run
+# After the last check of an owner's list: two watches without changes, a margin for the relays.
 OWNER_LEASE_SECONDS = 10.0
-# Largest assumed difference between the clocks of two daemons. If the real difference is
-# larger, two owners may act at the same time.
+# Largest clock difference allowed for; with a larger one two owners may act at the same time.
 DAEMON_CLOCK_SKEW_SECONDS = 2.0
 
 
@@ -49,9 +45,9 @@
 
     def change(self, members: Sequence[str], now: float) -> None:
         """Records the members from `now` on (unix seconds)."""
-        ordered = tuple(sorted(members))
-        if not self._memberships or self._memberships[-1].members != ordered:
-            self._memberships.append(_Membership(now, ordered))
+        sorted_members = tuple(sorted(members))
+        if not self._memberships or self._memberships[-1].members != sorted_members:
+            self._memberships.append(_Membership(now, sorted_members))
 
     def is_lease_held(self, checked: float, now: float) -> bool:
         """Whether an owner whose list was last checked at `checked` may act at `now`."""
--- a/packages/wheatslip/wheatslip/quarantine.py
+++ b/packages/wheatslip/wheatslip/quarantine.py
@@ -1,6 +1,6 @@
 """Quarantine for requests that may end the backend servers that run them.
 
-When a server ends, all requests that ran on it are reported, the cause and the others. A
+When a server ends, all requests that ran on it are reported, harmful and harmless ones. A
 request that ends every server that runs it is never answered, so an answer clears a request.
 
 | standing | condition | effect |
@@ -25,14 +25,11 @@
 import msgspec
 
 SERVER_ENDS_KIND = "server-ends"  # kind of the platform objects that store reports
-# Number of consecutive ends without an answer after which a request is held. It must be above
-# 2: a harmless request can run beside the same harmful one twice before its gate is informed.
+# Above 2: a harmless request may run beside the same harmful one twice before reports arrive.
 HOLD_AFTER_ENDS = 3
-# Time until a report expires, and so the longest hold without new ends.
-REPORT_TTL_SECONDS = 300.0
+REPORT_TTL_SECONDS = 300.0  # also the longest hold without new ends
 MAX_REPORTED_REQUESTS = 64  # requests reported for one end, the latest ones: about 1.3 kB
-# Requests with records, about 300 bytes each. The record with the fewest ends is evicted, the
-# oldest of these first.
+# Records of about 300 bytes; evicts the one with the fewest ends, the oldest of these first.
 MAX_SUSPECTS = 2048
 MAX_LIFTS = 256  # remembered to ignore late reports of ends that happened before a lift
 
@@ -116,8 +113,10 @@
 
     def held(self, now: float) -> list[SuspectRecord]:
         fingerprints = list(self._records)
-        held = [name for name in fingerprints if self.standing(name, now) is Standing.HELD]
-        return [self._records[name] for name in held]
+        held_names = [
+            name for name in fingerprints if self.standing(name, now) is Standing.HELD
+        ]
+        return [self._records[name] for name in held_names]
 
     def _add_end(self, end: ServerEnd, now: float) -> tuple[str, ...]:
         if not is_valid(end, now):
@@ -128,10 +127,10 @@
         for fingerprint in end.fingerprints:
             if end.since <= self._lifts.get(fingerprint, 0.0):
                 continue
-            before = self.standing(fingerprint, now)
+            old_standing = self.standing(fingerprint, now)
             self._record_end(fingerprint, end)
-            after = self.standing(fingerprint, now)
-            if before is not after and after is Standing.HELD:
+            new_standing = self.standing(fingerprint, now)
+            if old_standing is not new_standing and new_standing is Standing.HELD:
                 newly_held.append(fingerprint)
         return tuple(newly_held)
 
--- a/packages/wheatslip/wheatslip/retryafter.py
+++ b/packages/wheatslip/wheatslip/retryafter.py
@@ -47,7 +47,7 @@
 
 # Keeps refused callers from retrying immediately.
 MIN_RETRY_AFTER_SECONDS = 0.05
-# Seconds; `Retry-After` for callers that use routes, if the refusal has no time.
+# `Retry-After` for callers that use routes, if the refusal has no time.
 DEFAULT_RETRY_AFTER_SECONDS = 0.1
 
 STOPPING = NotRun(Reason.DRAINING, 1.0)
--- a/packages/wheatslip/wheatslip/runtracker.py
+++ b/packages/wheatslip/wheatslip/runtracker.py
@@ -8,17 +8,12 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass
 
-# Time after the loss of its connection for which an unanswered request may be a suspect. The
-# connections of a process that ends are lost within milliseconds, but the check that detects
-# the end takes longer.
-CONNECTION_LOST_SECONDS = 0.5
-# Time after its caller left for which a request may be a suspect: the server may still run it.
-CALLER_LEFT_SECONDS = 1.0
-# Time for which an answer exempts its request, at the next end only, since a request may start
-# to end servers later, for example with new data.
-ANSWER_VALID_SECONDS = 30.0
-# Maximum number of remembered answers, about 150 bytes each, and of ended unanswered runs. The
-# oldest are evicted.
+# Times for which an unanswered request may be a suspect.
+CONNECTION_LOST_SECONDS = 0.5  # the end of a server is detected after its connections are lost
+CALLER_LEFT_SECONDS = 1.0  # the server may still run the request
+
+ANSWER_VALID_SECONDS = 30.0  # an answer exempts its request this long, at the next end only
+# Answers of about 150 bytes, and as many ended unanswered runs; the oldest are evicted.
 MAX_ANSWERS = 1024
 
 
@@ -89,16 +84,16 @@
         self._ended_unanswered.clear()
         self._running.clear()
         suspects = {run.fingerprint: run for run in runs if not self._was_answered(run, now)}
-        answered = {run.fingerprint for run in runs} - suspects.keys()
-        for fingerprint in answered:
+        exempt_fingerprints = {run.fingerprint for run in runs} - suspects.keys()
+        for fingerprint in exempt_fingerprints:
             # An answer exempts its request once: if the next server does not answer it either,
             # it is a suspect.
             del self._answers[fingerprint]
-        return EndedRuns(tuple(suspects.values()), len(answered))
+        return EndedRuns(tuple(suspects.values()), len(exempt_fingerprints))
 
     def _was_answered(self, run: Run, now: float) -> bool:
-        answered = self._answers.get(run.fingerprint)
-        return answered is not None and now - answered <= ANSWER_VALID_SECONDS
+        answered_at = self._answers.get(run.fingerprint)
+        return answered_at is not None and now - answered_at <= ANSWER_VALID_SECONDS
 
     def _end_run(self, run: Run, until: float) -> None:
         if run not in self._running:
--- a/packages/wheatslip/wheatslip/speed.py
+++ b/packages/wheatslip/wheatslip/speed.py
@@ -24,17 +24,11 @@
 
 SLOW_THRESHOLD = 1.3  # slowness from which a server counts as slow
 USUAL_SLOWNESS = 1.0
-# The base slowness is the lowest one reported within this window. The window must be longer
-# than a slow period, which would otherwise become the base.
-BASE_WINDOW_SECONDS = 1.0
-# Reports must cover at least this time before they may raise the base slowness, since the first
-# report of a server may come from a slow period.
+BASE_WINDOW_SECONDS = 1.0  # the base is its lowest slowness; longer than a slow period
+# Reports must span this time to raise the base, since the first may come from a slow period.
 BASE_MIN_SPAN_SECONDS = 0.2
-# A whole period may lie between two reports further apart than this, so their states are not
-# used to estimate the length of a period.
-MAX_REPORT_GAP_SECONDS = 0.25
-# Observation time per state above which its statistics are halved, to discount old periods.
-MAX_OBSERVED_SECONDS = 20.0
+MAX_REPORT_GAP_SECONDS = 0.25  # a whole period may lie in a longer gap, which is not used
+MAX_OBSERVED_SECONDS = 20.0  # per state; above it the statistics are halved
 SLOW_FACTOR_WEIGHT = 0.1  # weight of one report in the moving average
 
 # Initial estimates for a server with few reports, and the observation time that they count as.
@@ -94,10 +88,10 @@
     def on_report(self, slowness: float, now: float) -> None:
         self._update_base_slowness(slowness, now)
         is_slow = slowness >= SLOW_THRESHOLD * self.base_slowness
-        since = now - self.reported_at
-        if 0 < since <= MAX_REPORT_GAP_SECONDS:
+        elapsed = now - self.reported_at
+        if 0 < elapsed <= MAX_REPORT_GAP_SECONDS:
             state = self._slow if self._is_slow else self._fast
-            state.observe(since, ended=is_slow != self._is_slow)
+            state.observe(elapsed, ended=is_slow != self._is_slow)
         if is_slow:
             factor = slowness / self.base_slowness
             self.slow_factor += SLOW_FACTOR_WEIGHT * (factor - self.slow_factor)
@@ -112,11 +106,13 @@
 
     def slow_probability(self, now: float) -> float:
         """Returns the probability, from 0 to 1, that the server is slow at `now`."""
-        to_slow, to_fast = self._fast.rate, self._slow.rate
-        share = to_slow / (to_slow + to_fast)
+        rate_to_slow, rate_to_fast = self._fast.rate, self._slow.rate
+        slow_share = rate_to_slow / (rate_to_slow + rate_to_fast)
         last_state = 1.0 if self._is_slow else 0.0
         age = max(0.0, now - self.reported_at)
-        return share + (last_state - share) * exp(-(to_slow + to_fast) * age)
+        return slow_share + (last_state - slow_share) * exp(
+            -(rate_to_slow + rate_to_fast) * age
+        )
 
     def _update_base_slowness(self, slowness: float, now: float) -> None:
         if now - self.reported_at > BASE_WINDOW_SECONDS:
@@ -126,9 +122,9 @@
         self._window_minima.append((now, slowness))
         while now - self._window_minima[0][0] > BASE_WINDOW_SECONDS:
             self._window_minima.popleft()
-        least = self._window_minima[0][1]
+        lowest = self._window_minima[0][1]
         has_min_span = now - self._steady_since >= BASE_MIN_SPAN_SECONDS
-        self.base_slowness = least if has_min_span else min(self.base_slowness, least)
+        self.base_slowness = lowest if has_min_span else min(self.base_slowness, lowest)
 
     @property
     def mean_slow_period_seconds(self) -> float:
--- a/packages/wheatslip/wheatslip/upstream.py
+++ b/packages/wheatslip/wheatslip/upstream.py
@@ -9,18 +9,14 @@
 
 from wheatslip.hop import LoadReport
 
-# Pause after the first failure, which doubles with each consecutive failure up to the maximum.
-FIRST_PAUSE_SECONDS = 0.2
-MAX_PAUSE_SECONDS = 5.0
-# The machine of an upstream counts as lost after this time without a connection, longer than a
-# restart or a short network failure, and this number of failures. Time alone is no sign if
-# there were no tries.
+FIRST_PAUSE_SECONDS = 0.2  # doubles with each consecutive failure
+MAX_PAUSE_SECONDS = 5.0  # before jitter, which multiplies a pause by 0.5 to 1.5
+# Time without a connection; longer than a restart or a short network failure.
 DEAD_AFTER_SECONDS = 15.0
-DEAD_AFTER_FAILURES = 4
+DEAD_AFTER_FAILURES = 4  # also required, since without tries the time alone is no sign
 ERROR_WEIGHT = 0.3  # of one answer in the error rate of an upstream
 ERROR_DECAY_SECONDS = 1.0  # time in which an error rate decays to 1/e
-# Time for which a good answer overrides the list's health. Without it, a list that is wrong
-# about many servers would overload the others.
+# A good answer overrides the list: one wrong about many servers would overload the others.
 ANSWER_VALID_SECONDS = 5.0
 
 
@@ -93,8 +89,8 @@
         were enough tries.
         """
         since = self.unreachable_since
-        tried = self.failures >= DEAD_AFTER_FAILURES
-        return since is not None and tried and now - since >= DEAD_AFTER_SECONDS
+        has_enough_failures = self.failures >= DEAD_AFTER_FAILURES
+        return since is not None and has_enough_failures and now - since >= DEAD_AFTER_SECONDS
 
     def on_failure(self, now: float, rng: Random) -> None:
         """It failed or could not be reached; starts a pause with exponential backoff."""
