--- a/packages/wheatslip/wheatslip/admission/admission.py
+++ b/packages/wheatslip/wheatslip/admission/admission.py
@@ -208,7 +208,7 @@
             if should_wait_out_slow_period(self.timing, ticket.call, now):
                 postponed_tickets.append(ticket)
             elif not self._requeue_if_late(ticket, now):
-                self._start(ticket, now)
+                self._start_ticket(ticket, now)
                 started_tickets.append(ticket)
         for ticket in postponed_tickets:
             self._queue.push(ticket)
@@ -239,7 +239,7 @@
             and not self.queued
             and not should_wait_out_slow_period(self.timing, ticket.call, now)
         ):
-            self._start(ticket, now)
+            self._start_ticket(ticket, now)
             return True
         self._was_full = self._was_full or not has_capacity
         return False
@@ -262,7 +262,7 @@
         is_idle = 2 * self.in_flight <= self.limit.value
         if not self.timing.may_start_late(ticket.call, now, is_idle=is_idle):
             return False
-        self._start(ticket, now)
+        self._start_ticket(ticket, now)
         return True
 
     def _requeue_if_late(self, ticket: Ticket, now: float) -> bool:
@@ -292,7 +292,7 @@
         """Whether a slot is free and, for a cold server, the rate limit allows a start."""
         return self.in_flight < self.limit.value and self.cold.wait(0, now) <= 0
 
-    def _start(self, ticket: Ticket, now: float) -> None:
+    def _start_ticket(self, ticket: Ticket, now: float) -> None:
         self.cold.on_start(now)
         self.timing.on_start(ticket, now)
         self._running.add(ticket)
--- a/packages/wheatslip/wheatslip/admission/timing.py
+++ b/packages/wheatslip/wheatslip/admission/timing.py
@@ -160,10 +160,10 @@
         """Time until which a call may wait; see the timeline above."""
         # At most half of the remaining time is reserved, however long the estimate is.
         reserved_seconds = min(self.current_call_time(call, now), call.remaining(now) / 2)
-        latest = min(call.deadline - reserved_seconds, call.hold_until)
+        start_limit = min(call.deadline - reserved_seconds, call.hold_until)
         if call.hold_until < UNLIMITED:
-            latest = min(latest, call.target - self.base_call_time(call, now))
-        return latest
+            start_limit = min(start_limit, call.target - self.base_call_time(call, now))
+        return start_limit
 
     def may_start_late(self, call: Call, now: float, *, is_idle: bool) -> bool:
         """Whether a call may still start at or after its latest start. `is_idle` tells whether
--- a/packages/wheatslip/wheatslip/attempts.py
+++ b/packages/wheatslip/wheatslip/attempts.py
@@ -94,7 +94,7 @@
         """The next try; None if the call has no tries or no upstreams left."""
         if self.tries >= MAX_TRIES:
             return None
-        self._current_try = self._choose(upstreams, now)
+        self._current_try = self._choose_try(upstreams, now)
         if self._current_try is not None:
             self.tries += 1
             self._tried.add(self._current_try.upstream.name)
@@ -146,7 +146,7 @@
             return Unknown(Reason.DEADLINE)
         return NotRun(Reason.DEADLINE)
 
-    def _choose(self, upstreams: Sequence[Upstream], now: float) -> Try | None:
+    def _choose_try(self, upstreams: Sequence[Upstream], now: float) -> Try | None:
         if self.call.is_at_most_once:
             key_owner = self._key_owner(upstreams)
             return Try(key_owner, UNLIMITED) if key_owner else None
--- a/packages/wheatslip/wheatslip/budget.py
+++ b/packages/wheatslip/wheatslip/budget.py
@@ -96,8 +96,8 @@
         window_start = self._now - self.bound.window
         requests = sum(b.requests for b in self._buckets if b.since >= window_start)
         retries = sum(bucket.retries for bucket in self._buckets)
-        allowed = self.bound.share * requests + self._reserve()
-        if retries + 1 > allowed:
+        max_retries = self.bound.share * requests + self._reserve()
+        if retries + 1 > max_retries:
             return False
         self._buckets[-1].retries += 1
         return True
--- a/packages/wheatslip/wheatslip/chooser.py
+++ b/packages/wheatslip/wheatslip/chooser.py
@@ -106,13 +106,13 @@
         available = [u for u in eligible if u.paused_until <= now]
         if not available:
             return self.rng.choice(eligible)
-        warm = [u for u in available if self._passes_warm_up(u, now)]
-        candidates = self._draw_candidates(warm or available)
+        warm_upstreams = [u for u in available if self._passes_warm_up(u, now)]
+        candidates = self._draw_candidates(warm_upstreams or available)
         if len(candidates) == 1:
             return candidates[0]
-        reported = (u.report.service for u in candidates if u.report is not None)
+        service_times = (u.report.service for u in candidates if u.report is not None)
         reference_service = max(
-            MIN_SERVICE_SECONDS, min(reported, default=INITIAL_SERVICE_TIME_SECONDS)
+            MIN_SERVICE_SECONDS, min(service_times, default=INITIAL_SERVICE_TIME_SECONDS)
         )
         return min(
             candidates, key=lambda u: self.cost(u, reference_service, now) * self._jitter()
@@ -167,8 +167,10 @@
         same_zone = [u for u in upstreams if u.zone == self.zone]
         other_zones = [u for u in upstreams if u.zone != self.zone]
         selected = self._sample(same_zone, self.settings.candidates)
-        missing = self.settings.candidates - len(selected)
-        return selected + self._sample(other_zones, max(MIN_OTHER_ZONE_CANDIDATES, missing))
+        missing_count = self.settings.candidates - len(selected)
+        return selected + self._sample(
+            other_zones, max(MIN_OTHER_ZONE_CANDIDATES, missing_count)
+        )
 
     def _sample(self, upstreams: list[Upstream], count: int) -> list[Upstream]:
         return upstreams if len(upstreams) <= count else self.rng.sample(upstreams, count)
--- a/packages/wheatslip/wheatslip/config/changes.py
+++ b/packages/wheatslip/wheatslip/config/changes.py
@@ -30,15 +30,17 @@
 def changes_between(old: Bundle, new: Bundle) -> list[Change]:
     """Returns the changes from `old` to `new`, sorted by item."""
     changes = [
-        *_compare("workspace", old.workspaces, new.workspaces),
-        *_compare("service", old.services, new.services),
-        *_compare("pool", old.pools, new.pools),
-        *_compare("route", old.routes, new.routes),
+        *_compare_items("workspace", old.workspaces, new.workspaces),
+        *_compare_items("service", old.services, new.services),
+        *_compare_items("pool", old.pools, new.pools),
+        *_compare_items("route", old.routes, new.routes),
     ]
     return sorted(changes, key=lambda change: change.item)
 
 
-def _compare(item_type: str, old: Iterable[Item], new: Iterable[Item]) -> Iterable[Change]:
+def _compare_items(
+    item_type: str, old: Iterable[Item], new: Iterable[Item]
+) -> Iterable[Change]:
     old_items = {item.name: item for item in old}
     new_items = {item.name: item for item in new}
     for name in old_items.keys() | new_items.keys():
--- a/packages/wheatslip/wheatslip/config/drainrequests.py
+++ b/packages/wheatslip/wheatslip/config/drainrequests.py
@@ -20,8 +20,8 @@
         match answer:
             case Ok(_):
                 return Ok(drain)
-            case Err(Conflict(StoredObject() as existing)):
-                return Ok(_decode_or_empty(existing))
+            case Err(Conflict(StoredObject() as existing_object)):
+                return Ok(_decode_or_empty(existing_object))
             case Err(Unavailable() as error):
                 return Err(error)
         return Err(Unavailable(f"the drain of zone {drain.zone} was changed concurrently"))
--- a/packages/wheatslip/wheatslip/config/releases.py
+++ b/packages/wheatslip/wheatslip/config/releases.py
@@ -103,7 +103,7 @@
     ) -> Result[Proposal, ReleaseError]:
         """Adds an operator's signature to a proposal, or replaces it if there is one."""
         for _ in range(MAX_SIGN_ATTEMPTS):
-            load_result = await self._load(version, digest)
+            load_result = await self._load_proposal(version, digest)
             if isinstance(load_result, Err):
                 return load_result
             proposal = load_result.ok_value
@@ -123,7 +123,7 @@
 
     async def roll_out(self, version: int, digest: str) -> Result[Head, ReleaseError]:
         """Puts a signed bundle in force if it is the next version after the current one."""
-        load_result = await self._load(version, digest)
+        load_result = await self._load_proposal(version, digest)
         if isinstance(load_result, Err):
             return load_result
         proposal = load_result.ok_value
@@ -160,7 +160,7 @@
 
         Errors are ignored, because daemons read the whole bundle if there is no delta.
         """
-        load_result = await self._load(current.version, current.digest)
+        load_result = await self._load_proposal(current.version, current.digest)
         if isinstance(load_result, Err):
             return
         old = load_result.ok_value.bundle
@@ -168,7 +168,7 @@
         name = bundle_name(new.version, new.digest)
         await self._client.put(DELTA_KIND, name, delta, expected=0)
 
-    async def _load(self, version: int, digest: str) -> Result[Proposal, ReleaseError]:
+    async def _load_proposal(self, version: int, digest: str) -> Result[Proposal, ReleaseError]:
         name = bundle_name(version, digest)
         answer = await self._client.get(BUNDLE_KIND, name)
         if isinstance(answer, Err):
--- a/packages/wheatslip/wheatslip/config/zonedrains.py
+++ b/packages/wheatslip/wheatslip/config/zonedrains.py
@@ -54,10 +54,12 @@
 def decode_drain(zone: str, value: bytes | msgspec.Raw) -> Result[ZoneDrain, str]:
     """Decodes the JSON value of a drain's object. The error is the decoder's message."""
     try:
-        stored = msgspec.json.decode(value, type=StoredDrain)
+        stored_drain = msgspec.json.decode(value, type=StoredDrain)
     except msgspec.DecodeError as error:
         return Err(str(error))
-    return Ok(ZoneDrain(zone, stored.asked_by, stored.since, stored.signature))
+    return Ok(
+        ZoneDrain(zone, stored_drain.asked_by, stored_drain.since, stored_drain.signature)
+    )
 
 
 def with_changes(
--- a/packages/wheatslip/wheatslip/distribution/feedcache.py
+++ b/packages/wheatslip/wheatslip/distribution/feedcache.py
@@ -101,7 +101,7 @@
         A list that was read in pages may contain states later than its version. The changes
         to those states arrive again later and are skipped.
         """
-        applied = []
+        applied_changes = []
         if whole:
             self.instances.clear()
             self._versions.clear()
@@ -112,12 +112,12 @@
                 continue  # already received from another source
             if change.version < self.version_of(change.name):
                 continue
-            applied.append(change)
-            self._apply(change)
+            applied_changes.append(change)
+            self._apply_change(change)
             if not whole:
                 self._keep_change(change)
         self.listed = listed
-        return applied
+        return applied_changes
 
     def is_outdated(self, update: Update) -> bool:
         """Whether the update's list is older than this one.
@@ -210,7 +210,7 @@
             return ()
         return tuple(chain)
 
-    def _apply(self, change: ListChange) -> None:
+    def _apply_change(self, change: ListChange) -> None:
         if change.instance is None:
             self.instances.pop(change.name, None)
             self._versions.pop(change.name, None)
--- a/packages/wheatslip/wheatslip/fairqueue.py
+++ b/packages/wheatslip/wheatslip/fairqueue.py
@@ -131,8 +131,8 @@
 
     def take_evicted(self) -> list[T]:
         """Returns the items evicted since the last call."""
-        evicted, self._evicted = self._evicted, []
-        return evicted
+        evicted_items, self._evicted = self._evicted, []
+        return evicted_items
 
     def _share(self, workspace: str) -> float:
         return self.shares.get(workspace, 1.0)
--- a/packages/wheatslip/wheatslip/hop.py
+++ b/packages/wheatslip/wheatslip/hop.py
@@ -65,15 +65,15 @@
 
 def decode_hop(value: bytes) -> Hop | None:
     """Decodes a header value; None if it is invalid."""
-    return _decode(_hop_decoder, value)
+    return _decode_message(_hop_decoder, value)
 
 
 def decode_load(value: bytes) -> LoadReport | None:
     """Decodes a header value; None if it is invalid."""
-    return _decode(_load_decoder, value)
+    return _decode_message(_load_decoder, value)
 
 
-def _decode(decoder: msgspec.json.Decoder[_Message], value: bytes) -> _Message | None:
+def _decode_message(decoder: msgspec.json.Decoder[_Message], value: bytes) -> _Message | None:
     if len(value) > MAX_HEADER_VALUE_BYTES:
         return None
     try:
--- a/packages/wheatslip/wheatslip/ledger.py
+++ b/packages/wheatslip/wheatslip/ledger.py
@@ -64,12 +64,12 @@
 def key_time(key: str) -> float | None:
     """Creation time of a version 7 UUID in unix seconds; None if `key` is not one."""
     try:
-        parsed = UUID(key)
+        uuid = UUID(key)
     except ValueError:
         return None
-    if parsed.version != UUID7_VERSION:
+    if uuid.version != UUID7_VERSION:
         return None
-    return (parsed.int >> UUID7_TIME_SHIFT) / 1000.0
+    return (uuid.int >> UUID7_TIME_SHIFT) / 1000.0
 
 
 class KeyLedger:
@@ -127,14 +127,14 @@
             key, record = next(iter(self._records.items()))
             if record.claimed_at > now - RECORD_SECONDS:
                 return
-            self._evict(key, record)
+            self._evict_record(key, record)
 
     def _evict_excess(self) -> None:
         while len(self._records) > self._max_records:
             key, record = next(iter(self._records.items()))
-            self._evict(key, record)
+            self._evict_record(key, record)
 
-    def _evict(self, key: str, record: _Record) -> None:
+    def _evict_record(self, key: str, record: _Record) -> None:
         """Drops the oldest record. Its key was created at most `CALLER_CLOCK_SKEW_SECONDS`
         after the claim, so only keys created later than that are then known not to have run.
         """
--- a/packages/wheatslip/wheatslip/store/objectclient.py
+++ b/packages/wheatslip/wheatslip/store/objectclient.py
@@ -55,7 +55,7 @@
     async def get(
         self, kind: str, name: str, *, stale_ok: bool = False
     ) -> Result[StoredObject | None, Unavailable]:
-        answer = await self._call("GET", f"/objects/{kind}/{name}")
+        answer = await self._send_request("GET", f"/objects/{kind}/{name}")
         match answer:
             case Ok((200, body)):
                 return Ok(msgspec.json.decode(body, type=StoredObject))
@@ -64,7 +64,7 @@
         return Err(_unavailable(answer))
 
     async def list(self, kind: str, *, stale_ok: bool = False) -> Result[Listing, Unavailable]:
-        answer = await self._call("GET", f"/objects/{kind}")
+        answer = await self._send_request("GET", f"/objects/{kind}")
         match answer:
             case Ok((200, body)):
                 listing = msgspec.json.decode(body, type=Listing)
@@ -75,7 +75,7 @@
         self, kind: str, since: int, wait: float = WATCH_SECONDS
     ) -> Result[Listing, ReadError]:
         path = f"/objects/{kind}?since={since}&wait={wait}"
-        answer = await self._call("GET", path, timeout=wait + IDLE_TIMEOUT_SECONDS)
+        answer = await self._send_request("GET", path, timeout=wait + IDLE_TIMEOUT_SECONDS)
         match answer:
             case Ok((200, body)):
                 return Ok(msgspec.json.decode(body, type=Listing))
@@ -94,7 +94,9 @@
         write_id = f"{self._rng.getrandbits(128):032x}"
         encoded = msgspec.Raw(msgspec.json.encode(value))
         body = msgspec.json.encode(WriteBody(write_id, encoded))
-        answer = await self._call("PUT", f"/objects/{kind}/{name}?expected={expected}", body)
+        answer = await self._send_request(
+            "PUT", f"/objects/{kind}/{name}?expected={expected}", body
+        )
         match answer:
             case Ok((200, data)):
                 return Ok(msgspec.json.decode(data, type=StoredObject))
@@ -106,7 +108,9 @@
 
     async def delete(self, kind: str, name: str, expected: int) -> Result[None, WriteError]:
         """Deletes an object if its version is `expected`; succeeds if it does not exist."""
-        answer = await self._call("DELETE", f"/objects/{kind}/{name}?expected={expected}")
+        answer = await self._send_request(
+            "DELETE", f"/objects/{kind}/{name}?expected={expected}"
+        )
         match answer:
             case Ok((204 | 404, _)):
                 return Ok(None)
@@ -127,7 +131,7 @@
                     return Err(Conflict(stored))
         return Err(Unavailable("response to a write lost; unknown whether it took effect"))
 
-    async def _call(
+    async def _send_request(
         self,
         method: str,
         path: str,
--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -89,7 +89,7 @@
         if self.current is not None:
             if not self.current.leaving and heartbeat.state is ServerState.LEAVING:
                 # A late heartbeat of a server that left before the current one started.
-                self._retire(server)
+                self._retire_id(server)
                 return False
             if not self._confirms_claim(server, heartbeat, now):
                 return False
@@ -97,7 +97,7 @@
 
     def on_deregistration(self, server: str) -> bool:
         """The server deregisters and will not come back; returns whether `current` changed."""
-        self._retire(server)
+        self._retire_id(server)
         if self._claim is not None and self._claim.server == server:
             self._claim = None
         current = self.current
@@ -138,13 +138,13 @@
         if claim.server == server:
             return self._take_over(server, claim.heartbeat, claim.since)
         self._claim = None
-        self._retire(claim.server)
+        self._retire_id(claim.server)
         return False
 
     def _take_over(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
         """Replaces the current server by one that was not registered."""
         if self.current is not None:
-            self._retire(self.current.server)
+            self._retire_id(self.current.server)
         self._claim = None
         self._sequence = heartbeat.sequence
         return self._set_current(server, heartbeat, now)
@@ -176,7 +176,7 @@
             leaving,
         )
 
-    def _retire(self, server: str) -> None:
+    def _retire_id(self, server: str) -> None:
         self._retired[server] = None
         while len(self._retired) > MAX_RETIRED_IDS:
             self._retired.popitem(last=False)
