--- a/packages/wheatslip/wheatslip/store/objectclient.py
+++ b/packages/wheatslip/wheatslip/store/objectclient.py
@@ -26,11 +26,9 @@
 if TYPE_CHECKING:
     import aiohttp
 
-# Longest time without a byte of the response; a watch adds the time that it waits.
-IDLE_TIMEOUT_SECONDS = 2.0
-# Added to the idle timeout for the whole response: a bundle of 16 MB at 1 MB/s.
-TRANSFER_TIMEOUT_SECONDS = 16.0
-MAX_READ_BACKS = 5  # of an update whose response was lost
+IDLE_TIMEOUT_SECONDS = 2.0  # without a byte of the response; a watch adds its wait
+TRANSFER_TIMEOUT_SECONDS = 16.0  # added for the whole response: 16 MB at 1 MB/s
+MAX_READ_BACKS = 5  # reads of an object after the response to its update was lost
 
 
 class WriteBody(msgspec.Struct, frozen=True):
@@ -57,7 +55,7 @@
     async def get(
         self, kind: str, name: str, *, stale_ok: bool = False
     ) -> Result[StoredObject | None, Unavailable]:
-        answer = await self._call("GET", f"/objects/{kind}/{name}")
+        answer = await self._send_request("GET", f"/objects/{kind}/{name}")
         match answer:
             case Ok((200, body)):
                 return Ok(msgspec.json.decode(body, type=StoredObject))
@@ -66,7 +64,7 @@
         return Err(_unavailable(answer))
 
     async def list(self, kind: str, *, stale_ok: bool = False) -> Result[Listing, Unavailable]:
-        answer = await self._call("GET", f"/objects/{kind}")
+        answer = await self._send_request("GET", f"/objects/{kind}")
         match answer:
             case Ok((200, body)):
                 listing = msgspec.json.decode(body, type=Listing)
@@ -77,7 +75,7 @@
         self, kind: str, since: int, wait: float = WATCH_SECONDS
     ) -> Result[Listing, ReadError]:
         path = f"/objects/{kind}?since={since}&wait={wait}"
-        answer = await self._call("GET", path, timeout=wait + IDLE_TIMEOUT_SECONDS)
+        answer = await self._send_request("GET", path, timeout=wait + IDLE_TIMEOUT_SECONDS)
         match answer:
             case Ok((200, body)):
                 return Ok(msgspec.json.decode(body, type=Listing))
@@ -96,7 +94,9 @@
         write_id = f"{self._rng.getrandbits(128):032x}"
         encoded = msgspec.Raw(msgspec.json.encode(value))
         body = msgspec.json.encode(WriteBody(write_id, encoded))
-        answer = await self._call("PUT", f"/objects/{kind}/{name}?expected={expected}", body)
+        answer = await self._send_request(
+            "PUT", f"/objects/{kind}/{name}?expected={expected}", body
+        )
         match answer:
             case Ok((200, data)):
                 return Ok(msgspec.json.decode(data, type=StoredObject))
@@ -108,7 +108,9 @@
 
     async def delete(self, kind: str, name: str, expected: int) -> Result[None, WriteError]:
         """Deletes an object if its version is `expected`; succeeds if it does not exist."""
-        answer = await self._call("DELETE", f"/objects/{kind}/{name}?expected={expected}")
+        answer = await self._send_request(
+            "DELETE", f"/objects/{kind}/{name}?expected={expected}"
+        )
         match answer:
             case Ok((204 | 404, _)):
                 return Ok(None)
@@ -129,7 +131,7 @@
                     return Err(Conflict(stored))
         return Err(Unavailable("response to a write lost; unknown whether it took effect"))
 
-    async def _call(
+    async def _send_request(
         self,
         method: str,
         path: str,
@@ -142,14 +144,14 @@
         if self._session is None:
             self._session = aiohttp.ClientSession()
         self.calls += 1
-        limit = aiohttp.ClientTimeout(
+        timeouts = aiohttp.ClientTimeout(
             total=timeout + TRANSFER_TIMEOUT_SECONDS,
             sock_connect=IDLE_TIMEOUT_SECONDS,
             sock_read=timeout,
         )
         try:
             async with self._session.request(
-                method, self._base + path, data=body, timeout=limit
+                method, self._base + path, data=body, timeout=timeouts
             ) as response:
                 return Ok((response.status, await response.read()))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
--- a/packages/wheatslip/wheatslip/store/registration.py
+++ b/packages/wheatslip/wheatslip/store/registration.py
@@ -1,8 +1,8 @@
 """Registration of the backend server beside a daemon, from the server's heartbeats.
 
-Inputs are heartbeats, deregistrations and health endpoint responses, which may arrive late and
-in any order. They decide whether the server may get new requests. Each start of a server has
-its own id. A server that has reported that it is leaving never gets new requests again.
+Heartbeats, deregistrations and health endpoint responses may arrive late and in any order. They
+decide whether the server may get new requests. Each start of a server has its own id. A server
+that has reported that it is leaving never gets new requests again.
 
 A heartbeat with a new id may be from a server that has just replaced the current one, or a late
 one from a server that crashed earlier. The id in the health endpoint's response decides. This
@@ -16,9 +16,7 @@
 import msgspec
 
 MAX_RETIRED_IDS = 1000  # ids of former servers whose late heartbeats are ignored
-# Time between two heartbeats of a new id after which it is registered without a response of the
-# health endpoint. It must be less than the heartbeat interval of a running server, and more
-# than the interval between late heartbeats of a dead one, which arrive together.
+# Less than a heartbeat interval, more than the time in which late heartbeats arrive together.
 CLAIM_CONFIRM_SECONDS = 1.0
 
 
@@ -91,7 +89,7 @@
         if self.current is not None:
             if not self.current.leaving and heartbeat.state is ServerState.LEAVING:
                 # A late heartbeat of a server that left before the current one started.
-                self._retire(server)
+                self._retire_id(server)
                 return False
             if not self._confirms_claim(server, heartbeat, now):
                 return False
@@ -99,7 +97,7 @@
 
     def on_deregistration(self, server: str) -> bool:
         """The server deregisters and will not come back; returns whether `current` changed."""
-        self._retire(server)
+        self._retire_id(server)
         if self._claim is not None and self._claim.server == server:
             self._claim = None
         current = self.current
@@ -115,7 +113,7 @@
 
         `warm_at` is when the server will have warmed up; None: not stated. The id always
         resolves a dispute. Otherwise the response is used only until the first heartbeat, since
-        its status may be wrong either way.
+        it may report a running server as failed or a failed one as healthy.
         """
         if self._claim is not None:
             return self._resolve_dispute(server)
@@ -125,7 +123,9 @@
         return True
 
     def _confirms_claim(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
-        """Records a claim; returns whether it has lasted for `CLAIM_CONFIRM_SECONDS`."""
+        """Records the first heartbeat of a new id as a claim. Returns whether a later heartbeat
+        confirms it after `CLAIM_CONFIRM_SECONDS`, without a response of the health endpoint.
+        """
         if self._claim is None or self._claim.server != server:
             self._claim = _Claim(server, heartbeat, now)
             return False
@@ -138,13 +138,13 @@
         if claim.server == server:
             return self._take_over(server, claim.heartbeat, claim.since)
         self._claim = None
-        self._retire(claim.server)
+        self._retire_id(claim.server)
         return False
 
     def _take_over(self, server: str, heartbeat: Heartbeat, now: float) -> bool:
         """Replaces the current server by one that was not registered."""
         if self.current is not None:
-            self._retire(self.current.server)
+            self._retire_id(self.current.server)
         self._claim = None
         self._sequence = heartbeat.sequence
         return self._set_current(server, heartbeat, now)
@@ -176,7 +176,7 @@
             leaving,
         )
 
-    def _retire(self, server: str) -> None:
+    def _retire_id(self, server: str) -> None:
         self._retired[server] = None
         while len(self._retired) > MAX_RETIRED_IDS:
             self._retired.popitem(last=False)
