--- a/packages/wheatslipd/wheatslipd/__init__.py
+++ b/packages/wheatslipd/wheatslipd/__init__.py
@@ -9,12 +9,11 @@
 
 
 def _import_circuits() -> None:
-    """Import circuits without setuptools' `pkg_resources`.
+    """Import circuits with a stub in place of setuptools' `pkg_resources`.
 
-    circuits imports it only to declare a namespace package, which is not needed here. That
-    import reads the metadata of every installed distribution and slows down the start. Without
-    `pkg_resources` circuits would load `importlib.metadata` instead, so a stub replaces it
-    during the import.
+    circuits needs `pkg_resources` only to declare a namespace package. Importing it reads the
+    metadata of every installed distribution, which is slow. If the module were only missing,
+    circuits would import `importlib.metadata` instead.
     """
     is_loaded = _PKG_RESOURCES in sys.modules
     if not is_loaded:
--- a/packages/wheatslipd/wheatslipd/chain.py
+++ b/packages/wheatslipd/wheatslipd/chain.py
@@ -1,7 +1,6 @@
-"""The filter chain, which passes a request through a list of filters in order.
+"""The filter chain: passes a request through a list of filters in order.
 
-Each filter either returns an outcome or calls the rest of the chain. An embedder extends the
-chain by adding its own filter to the list.
+Each filter either returns an outcome or calls the rest of the chain.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
--- a/packages/wheatslipd/wheatslipd/daemon.py
+++ b/packages/wheatslipd/wheatslipd/daemon.py
@@ -41,7 +41,7 @@
 if TYPE_CHECKING:
     from wheatslipd.telemetry.pages import PageServer
 
-# How long after listening starts requests wait for the first configuration and list.
+# Requests wait for the first configuration and list until this time after listening starts.
 EXPECTED_START_SECONDS = 0.2
 # Settings that SIGHUP reloads; the head of default.ini lists them too.
 RELOADABLE_SETTINGS = ("chooser", "log_level", "stop_grace", "trace_sample")
@@ -85,7 +85,7 @@
         self._chooser = Chooser(settings.zone, rng, settings.chooser)
         self._tracer = HopTracer(settings.name, settings.trace_sample, settings.trace_file, rng)
 
-        # Configuration, zone drains and the list of instances, read by all components below.
+        # The components below read the configuration, zone drains and instances from the feed.
         self.feed = Feed(
             LocalDaemon(settings.name, settings.zone, settings.feed),
             FeedDependencies(store, tls, rng, unix),
@@ -237,7 +237,7 @@
         """Finish requests in flight within `stop_grace` and update the list entry."""
         grace = self.settings.stop_grace
         if self.local_backend is not None and self.view.leaving:
-            # The daemon leaves with its backend server, so no one may find it in the list.
+            # The backend server leaves too, so other daemons must not send requests here.
             self.local_backend.withdraw()
         elif self.local_backend is not None:
             self.local_backend.publish()
@@ -256,7 +256,7 @@
 
 
 def _object_client(address: str, rng: Random) -> ObjectStore:
-    # A daemon with another store does not need this import.
+    # Imported here because a daemon with another store does not need it.
     from wheatslip.store.objectclient import ObjectClient
 
     return ObjectClient(address, rng)
--- a/packages/wheatslipd/wheatslipd/run.py
+++ b/packages/wheatslipd/wheatslipd/run.py
@@ -22,9 +22,7 @@
 # Exit codes of the process, documented in docs/OPERATIONS.md; 0 is a planned stop.
 EXIT_FAILED = 1
 EXIT_BAD_SETTINGS = 2
-# New objects before the youngest generation is collected, and collections of each generation
-# before the next older one is collected.
-GC_THRESHOLDS = (20_000, 20, 100)
+GC_THRESHOLDS = (20_000, 20, 100)  # of generations 0, 1 and 2, see `gc.set_threshold`
 
 
 def run_daemon(
@@ -56,8 +54,8 @@
 
     if settings.loop == "asyncio":
         return asyncio.run(main())
-    # libuv may use io_uring, which instances forbid. It reads this variable when its loop is
-    # created.
+    # libuv may use io_uring, which is forbidden on instances. It reads this variable when it
+    # creates a loop.
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
@@ -65,7 +63,7 @@
 
 
 def reload_settings(path: Path, daemon: Daemon, log: logs.KeyValueDestination) -> None:
-    """Reload the settings; a file with problems changes nothing."""
+    """Reload the settings; if the file has problems, log them and change nothing."""
     match load_settings(path):
         case Ok(settings):
             logs.set_level(log, settings.log_level)
@@ -78,7 +76,7 @@
 def _tune_garbage_collection() -> None:
     """Exempt the objects created at startup from garbage collection and collect less often.
 
-    A full collection blocks all requests for tens of milliseconds.
+    A full collection blocks the event loop, and with it all requests.
     """
     gc.collect()
     gc.freeze()
@@ -86,7 +84,7 @@
 
 
 def uses_io_uring() -> bool:
-    """Whether this process has an open io_uring, which instances forbid."""
+    """Whether this process has an open io_uring, which is forbidden on instances."""
     folder = Path("/proc/self/fd")
     if not folder.exists():
         return False
--- a/packages/wheatslipd/wheatslipd/settings.py
+++ b/packages/wheatslipd/wheatslipd/settings.py
@@ -132,8 +132,9 @@
 
     @property
     def lists_itself(self) -> bool:
-        """Whether the backend server registers with this daemon and the daemon writes its own
-        entry in the list of instances; otherwise the platform lists both.
+        """Whether this daemon writes its own entry in the list of instances.
+
+        Its backend server registers with it then. Otherwise the platform lists the instances.
         """
         return self.registration_port is not None
 
@@ -143,7 +144,7 @@
 
 def default_text() -> str:
     """Return the text of default.ini."""
-    # importlib.resources is slow to import.
+    # `importlib.resources` is slow to import.
     text = get_data("wheatslipd", "default.ini")
     assert text is not None
     return text.decode()
@@ -162,7 +163,7 @@
     """Parse and check an INI text; `source` names it in problems."""
     problems = Problems(source)
     sections = layered_sections(text, default_text(), problems)
-    settings = _read(sections, problems)
+    settings = _build_settings(sections, problems)
     for section in sections.values():
         section.report_unknown_keys()
     if problems.found:
@@ -170,7 +171,7 @@
     return Ok(settings)
 
 
-def _read(sections: dict[str, Section], problems: Problems) -> Settings:
+def _build_settings(sections: dict[str, Section], problems: Problems) -> Settings:
     daemon = sections["daemon"]
     backend = sections["backend"]
     log = sections["log"]
@@ -291,8 +292,10 @@
 
 
 def _peer_tls(section: Section, address: str, problems: Problems) -> TlsFiles | None:
-    names = [section.text(key) for key in ("certificate", "key", "authority")]
-    plain_text = section.choice("plain-text", "no", {w: w for w in PLAIN_TEXT_CHOICES})
+    paths = [section.text(key) for key in ("certificate", "key", "authority")]
+    plain_text = section.choice(
+        "plain-text", "no", {choice: choice for choice in PLAIN_TEXT_CHOICES}
+    )
     if plain_text == "trusted-network":
         return None
     if plain_text == "yes":
@@ -300,8 +303,8 @@
             expected = "no, unless [daemon] address is a loopback address"
             problems.add("peer", "plain-text", "yes", expected)
         return None
-    if not all(names):
+    if not all(paths):
         expected = "certificate, key and authority together, or plain-text = yes"
-        problems.add("peer", "certificate", names[0], expected)
+        problems.add("peer", "certificate", paths[0], expected)
         return None
-    return TlsFiles(*(Path(name) for name in names))
+    return TlsFiles(*(Path(path) for path in paths))
--- a/packages/wheatslipd/wheatslipd/shared.py
+++ b/packages/wheatslipd/wheatslipd/shared.py
@@ -14,10 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedState:
-    """State, events, metrics, random generator, quarantine and clocks of one daemon.
-
-    The caller that starts the daemon seeds `rng`. Both clocks return seconds.
-    """
+    """State of one daemon that its components share; both clocks return seconds."""
 
     view: View
     bus: Bus
--- a/packages/wheatslipd/wheatslipd/tls.py
+++ b/packages/wheatslipd/wheatslipd/tls.py
@@ -19,15 +19,15 @@
     if files is None:
         return PeerTls()
     return PeerTls(
-        server=_context(ssl.Purpose.CLIENT_AUTH, files),
-        client=_context(ssl.Purpose.SERVER_AUTH, files),
+        server=_create_context(ssl.Purpose.CLIENT_AUTH, files),
+        client=_create_context(ssl.Purpose.SERVER_AUTH, files),
     )
 
 
-def _context(purpose: ssl.Purpose, files: TlsFiles) -> ssl.SSLContext:
+def _create_context(purpose: ssl.Purpose, files: TlsFiles) -> ssl.SSLContext:
     context = ssl.create_default_context(purpose, cafile=str(files.authority))
     context.load_cert_chain(files.certificate, files.key)
-    # Daemons are addressed by changing IP addresses, and the authority signs only daemons.
+    # IP addresses of daemons change, and the authority signs certificates of daemons only.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.minimum_version = ssl.TLSVersion.TLSv1_3
