--- a/packages/wheatslipd/wheatslipd/controllers/bundles.py
+++ b/packages/wheatslipd/wheatslipd/controllers/bundles.py
@@ -1,4 +1,4 @@
-"""Controller of the bundle in force: only a newer, verified bundle replaces it."""
+"""Controller of the bundle in force, which only a newer verified bundle replaces."""
 
 from circuits import Component
 from wheatslip.config.bundle import Bundle
--- a/packages/wheatslipd/wheatslipd/controllers/bus.py
+++ b/packages/wheatslipd/wheatslipd/controllers/bus.py
@@ -1,8 +1,7 @@
 """The event bus: circuits' event queue, flushed from the asyncio event loop.
 
-The event loop of circuits would poll in parallel with asyncio's, so it is not used. Firing an
-event schedules a flush, and the events that handlers fire are flushed in the same iteration.
-Nothing runs while the queue is empty.
+The event loop of circuits is not used. Firing an event schedules a flush in asyncio's loop, and
+the events that handlers fire are flushed in the same iteration.
 """
 
 import asyncio
@@ -29,13 +28,13 @@
         """Start to flush from the running event loop."""
         self._loop = asyncio.get_running_loop()
         self.failed = self._loop.create_future()
-        self._schedule()
+        self._schedule_flush()
 
     def _fire(self, event: Any, channel: Any, priority: int = 0) -> None:
         super()._fire(event, channel, priority)
-        self._schedule()
+        self._schedule_flush()
 
-    def _schedule(self) -> None:
+    def _schedule_flush(self) -> None:
         if self._loop is not None and not self._is_flush_scheduled:
             self._is_flush_scheduled = True
             self._loop.call_soon(self._flush_all)
--- a/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
+++ b/packages/wheatslipd/wheatslipd/controllers/lifecycle.py
@@ -1,4 +1,4 @@
-"""Controller of the daemon's lifecycle: draining, limits, the local backend server, hints."""
+"""Controller of draining, a bundle's limits, the local backend server and version hints."""
 
 from circuits import Component
 from wheatslip.admission import AdmissionSettings
@@ -25,16 +25,16 @@
         view: View,
         server_side: ServerSide,
         feed: Feed,
-        own_server: LocalBackend | None,
+        local_backend: LocalBackend | None,
     ):
-        """`own_server` is None if the platform lists the instances."""
+        """`local_backend` is None if the platform lists the instances."""
         super().__init__()
         self._settings = settings
         self._view = view
         self._server_side = server_side
         self._gate = server_side.gate
         self._feed = feed
-        self._own_server = own_server
+        self._local_backend = local_backend
 
     def leaving(self, cause: str) -> None:
         """Stop accepting new requests; requests in flight continue."""
@@ -57,7 +57,7 @@
             logs.warning("pool-not-in-bundle", pool=self._settings.pool, version=bundle.version)
             return
         admission = self._gate.admission
-        slots = self._own_server.apply_pool(pool) if self._own_server else pool.slots
+        slots = self._local_backend.apply_pool(pool) if self._local_backend else pool.slots
         admission.resize(AdmissionSettings(slots=slots, queue=pool.queue))
         admission.set_shares({w.name: w.share for w in bundle.workspaces})
         self._server_side.backend.set_connection_limit(pool.connections)
@@ -65,22 +65,22 @@
 
     def backend_registered(self, registered: RegisteredServer) -> None:
         """Apply the registration of the local backend server, and publish it."""
-        assert self._own_server is not None
+        assert self._local_backend is not None
         self._server_side.peer_port.server = registered.server
-        self._own_server.apply_registration(registered)
+        self._local_backend.apply_registration(registered)
         if registered.leaving:
             self.leaving(f"backend server {registered.server} leaves")
         else:
             self._view.leaving = False
             self._gate.on_server_available()
-        self._own_server.publish()
+        self._local_backend.publish()
 
     def instances_updated(
         self, instances: tuple[Instance, ...], removed: tuple[str, ...], whole: bool
     ) -> None:
         """Compare the own entry with the list, or with changes of it."""
-        if self._own_server is not None:
-            self._own_server.check_entry(instances, removed, whole)
+        if self._local_backend is not None:
+            self._local_backend.check_entry(instances, removed, whole)
 
     def newer_version_seen(self, version: int, address: str) -> None:
         """Fetch `version` from the daemon at `address` if it is newer than the one in force."""
--- a/packages/wheatslipd/wheatslipd/controllers/membership.py
+++ b/packages/wheatslipd/wheatslipd/controllers/membership.py
@@ -1,9 +1,8 @@
 """Controller of the members: converts the instance list into peers by pool.
 
-During an outage of the platform an entry may expire although its backend server is running; its
-daemon then writes the entry again. A peer whose entry disappears is therefore kept for
-`LAPSE_GRACE_SECONDS` and removed only if the entry is still missing then. A peer that was
-leaving or unreachable is removed at once.
+During an outage of the platform an entry may expire although its daemon is running; the daemon
+then writes it again. A peer without an entry is therefore removed only after
+`LAPSE_GRACE_SECONDS`, or at once if it was leaving or unreachable.
 """
 
 import asyncio
@@ -23,9 +22,7 @@
 from wheatslipd.tls import PeerTls
 
 MAX_CONNECTIONS_PER_PEER = 256
-# A running daemon writes its expired entry again within this time, as the users' platform
-# requires.
-LAPSE_GRACE_SECONDS = 2.0
+LAPSE_GRACE_SECONDS = 2.0  # a running daemon writes its expired entry again within this time
 
 
 class MembershipController(Component):
@@ -113,8 +110,7 @@
     def _handle_own_entry(self, instance: Instance, is_leaving: bool) -> None:
         """Fire an event if the list marks this daemon as leaving, or as restarted.
 
-        The list lags behind: the first entry that it contains under the own name may be that of
-        an earlier process.
+        The first listed entry of this daemon may be outdated: one of an earlier process.
         """
         if is_leaving:
             self._leaving_incarnation = instance.incarnation
--- a/packages/wheatslipd/wheatslipd/controllers/quarantine.py
+++ b/packages/wheatslipd/wheatslipd/controllers/quarantine.py
@@ -19,9 +19,7 @@
 
 from wheatslipd.telemetry import logs
 
-# A report's id consists of the daemon's name and random bits: the daemon must not use an id
-# again after a restart.
-REPORT_ID_RANDOM_BITS = 32
+REPORT_ID_RANDOM_BITS = 32  # make a report's id unique across restarts of the daemon
 
 
 class QuarantineController(Component):
@@ -51,9 +49,9 @@
 
     def server_ended(self, exposed: EndedRuns) -> None:
         """Report the requests that may have caused the end of the local backend server."""
-        latest = exposed.suspects[-MAX_REPORTED_REQUESTS:]
-        if latest:
-            fingerprints = tuple(run.fingerprint for run in latest)
+        reported_runs = exposed.suspects[-MAX_REPORTED_REQUESTS:]
+        if reported_runs:
+            fingerprints = tuple(run.fingerprint for run in reported_runs)
             self._publish_report(
                 ServerEnd(self._new_id(), self._unix(), self._pool, fingerprints)
             )
@@ -69,7 +67,7 @@
                 logs.info("request-lifted", fingerprint=report.fingerprint)
 
     def lift(self, fingerprint: str) -> bool:
-        """Let a held request run again at all daemons; return whether this one held it."""
+        """Let a held request run again at all daemons; return whether this daemon held it."""
         now = self._unix()
         if not self._quarantine.held_for(fingerprint, now):
             return False
--- a/packages/wheatslipd/wheatslipd/controllers/view.py
+++ b/packages/wheatslipd/wheatslipd/controllers/view.py
@@ -1,7 +1,7 @@
 """The state of configuration and membership that the request path reads.
 
-Controllers replace whole objects and never modify a published one; filters only read. All of
-them run in the event loop's thread.
+Controllers replace whole objects and do not modify a published one. All readers and writers run
+in the event loop's thread.
 """
 
 import asyncio
@@ -54,9 +54,9 @@
 class View:
     """The current state, as the request path reads it.
 
-    `drains` is None until the zone drains have been received; nothing may be sent before.
-    `initialized` is set once a configuration, the zone drains and an instance list are present.
-    At the start, requests wait for these until `startup_deadline` (seconds, monotonic clock).
+    Nothing may be sent while `drains` is None (not received yet). `initialized` is set once a
+    configuration, the zone drains and an instance list are present. At the start, requests wait
+    for these until `startup_deadline` (seconds, monotonic clock).
 
     `leaving`: the local backend server accepts no new requests; the entry still forwards
     requests to other backend servers. `stopping`: the health page and a "connection: close"
--- a/packages/wheatslipd/wheatslipd/controllers/zones.py
+++ b/packages/wheatslipd/wheatslipd/controllers/zones.py
@@ -1,8 +1,6 @@
 """Controller of the zone drains: entries send nothing to a drained zone, and its gates close.
 
-Every request to a backend server passes its gate, so a closed gate also stops new requests from
-an entry that has not received the drain yet. The backend servers of a drained zone may become
-cold, so the gate probes its backend server after the zone is restored.
+A closed gate also stops new requests from an entry that has not received the drain yet.
 """
 
 from collections.abc import Callable
