--- a/packages/wheatslipd/wheatslipd/registration/localbackend.py
+++ b/packages/wheatslipd/wheatslipd/registration/localbackend.py
@@ -59,7 +59,7 @@
         self._cache = feed.cache
         self._ports = ports
         self._server = ""  # id of the server that registered last
-        self._slots = 0  # the server's reported slots times `slot_share`; 0: none reported
+        self._slots = 0  # the reported slots times `slot_share`; 0: none reported yet
         self._registrar = Registrar(
             Registration(settings.pool, f"{settings.backend_address}:{settings.backend_port}"),
             backend,
@@ -123,7 +123,7 @@
             self._gate.on_server_available()
 
     def apply_registration(self, registered: RegisteredServer) -> None:
-        """Apply the slots that the server reports; the speed of a new server is measured."""
+        """Apply the reported slots; for a new server, reset its speed and cold state first."""
         if registered.server != self._server:
             self._reset_for_new_server(registered)
         self._server = registered.server
@@ -146,7 +146,7 @@
         """Publish the current state of this daemon in the list of instances."""
         settings = self._settings
         ports = self._ports()
-        leaves = self._view.leaving or self._view.stopping
+        is_leaving = self._view.leaving or self._view.stopping
         self._publisher.publish(
             Instance(
                 name=settings.name,
@@ -156,7 +156,7 @@
                 entry_port=ports.entry,
                 peer_port=ports.peer,
                 control_port=ports.control,
-                state=InstanceState.LEAVING if leaves else InstanceState.LIVE,
+                state=InstanceState.LEAVING if is_leaving else InstanceState.LIVE,
             )
         )
 
@@ -169,13 +169,13 @@
         await self._publisher.wait_settled(PUBLISH_TIMEOUT_SECONDS)
 
     def check_entry(
-        self, instances: tuple[Instance, ...], gone: tuple[str, ...], whole: bool
+        self, instances: tuple[Instance, ...], removed: tuple[str, ...], whole: bool
     ) -> None:
-        """Compare this daemon's entry in a list, or in changes to it, with the published one.
+        """Compare this daemon's entry in the list, or in changes of it, with the published one.
 
-        `whole` tells a list from changes; `gone` holds the names that the changes remove.
+        `removed` contains names. `whole` tells whether `instances` is the complete list.
         """
         name = self._settings.name
         listed = next((i for i in instances if i.name == name), None)
-        if listed is not None or whole or name in gone:
+        if listed is not None or whole or name in removed:
             self._publisher.on_listed(listed, self._cache.version_of(name), self._cache.listed)
--- a/packages/wheatslipd/wheatslipd/registration/publisher.py
+++ b/packages/wheatslipd/wheatslipd/registration/publisher.py
@@ -1,7 +1,7 @@
 """The task that maintains this daemon's entry in the platform's list of instances.
 
-It writes on a change, and when the list shows an entry that differs from the desired one. Other
-daemons never write this entry but remove it if they consider it dead (`DeadEntryRemover`).
+It writes when the desired entry changes and when the list shows a different one. Other daemons
+never write this entry, but remove it if they consider it dead (`DeadEntryRemover`).
 """
 
 import asyncio
@@ -16,11 +16,8 @@
 
 from wheatslipd.telemetry import logs
 
-# Longest wait before a write is retried. Other daemons drop a daemon whose entry is missing for
-# longer than `membership.LAPSE_GRACE_SECONDS`.
-MAX_RETRY_SECONDS = 1.0
-# How long the first write waits for the list. Without the list, a restarted daemon needs three
-# calls (refused creation, read, write) instead of one.
+MAX_RETRY_SECONDS = 1.0  # longest backoff; must be below `membership.LAPSE_GRACE_SECONDS`
+# The first write waits this long for the list, which saves a restarted daemon two calls.
 LIST_TIMEOUT_SECONDS = 0.3
 
 
@@ -30,10 +27,10 @@
     def __init__(self, store: ObjectStore, rng: Random):
         self._store = store
         self._rng = rng
-        self._desired: Instance | None = None  # apart from its incarnation
+        self._desired: Instance | None = None  # its incarnation is ignored
         self._stored: Instance | None = None  # the platform's entry, as last read or written
         self._version = 0  # of the stored entry; 0: there is none
-        self._incarnation = 1  # of this start; one more than in the entry of the previous start
+        self._incarnation = 1  # of this start; higher than in the entry of the previous start
         self._is_first = True  # until an entry of this or a previous start is read or written
         self._last_sent: Instance | None = None  # the entry in the last write
         self._changed = asyncio.Event()
@@ -86,7 +83,7 @@
         while True:
             await self._changed.wait()
             self._changed.clear()
-            await self._sync()
+            await self._sync_entry()
             if not self._changed.is_set():
                 self._settled.set()
 
@@ -94,7 +91,7 @@
         self._settled.clear()
         self._changed.set()
 
-    async def _sync(self) -> None:
+    async def _sync_entry(self) -> None:
         backoff = Backoff(self._rng, last=MAX_RETRY_SECONDS)
         while self._desired is not None and not await self._sync_once(self._desired):
             await asyncio.sleep(backoff.next())
--- a/packages/wheatslipd/wheatslipd/registration/registrar.py
+++ b/packages/wheatslipd/wheatslipd/registration/registrar.py
@@ -1,8 +1,7 @@
 """The port on which the local backend server registers by heartbeats.
 
-It is used if the platform does not list the instances. Until the first heartbeat the health
-endpoint is probed, so that a restarted daemon need not wait for a heartbeat. Each change is
-fired on the bus.
+It is used if the platform does not list the instances. Until the first heartbeat, the daemon
+probes the health endpoint, so that it need not wait for a heartbeat after a restart.
 """
 
 import asyncio
@@ -103,9 +102,9 @@
                 if self.health_path:
                     await self._probe_health()
                 if self._is_unresolved():
-                    # The interval counts from the start of the probe. If a probe times out
-                    # because startup blocks the loop, the next one follows immediately. A
-                    # further wait would refuse all callers for that time.
+                    # The interval counts from the start of the probe: after a probe that timed
+                    # out, the next one starts immediately, because callers are refused until
+                    # one succeeds.
                     await asyncio.sleep(
                         max(0.0, started_at + HEALTH_INTERVAL_SECONDS - self._clock())
                     )
--- a/packages/wheatslipd/wheatslipd/registration/removal.py
+++ b/packages/wheatslipd/wheatslipd/registration/removal.py
@@ -1,11 +1,8 @@
 """The task that removes the entries of dead daemons from the platform's list.
 
-If daemons write their own entries, the entry of a dead daemon would stay forever. It is removed
-by the daemons that read the platform for their availability zone, in the order of their ranks:
-the first one immediately, the next one after a delay, and those of other zones last. One entry
-therefore costs one call, regardless of the fleet size. If an entry is removed in error because
-only the remover cannot reach that daemon, the daemon sees that its entry is missing and writes
-it again.
+It is needed if daemons write their own entries. The daemons that read the platform remove dead
+entries in the order of their ranks, with a delay per rank, so that usually only one of them
+calls the platform. A running daemon whose entry is removed writes it again.
 """
 
 import asyncio
@@ -19,7 +16,7 @@
 from wheatslipd.telemetry import logs
 
 SCAN_SECONDS = 5.0  # between two scans for dead entries
-RANK_DELAY_SECONDS = 2 * SCAN_SECONDS  # added per rank, so that lower ranks remove first
+RANK_DELAY_SECONDS = 2 * SCAN_SECONDS  # per rank
 
 
 class DeadEntryRemover:
