--- a/packages/wheatslipd/wheatslipd/telemetry/logs.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/logs.py
@@ -19,8 +19,8 @@
 class KeyValueDestination:
     """Writes each event at or above a level as one line and suppresses repeats.
 
-    Events with the same type and `repeat_key` are written at most once per `REPEAT_SECONDS`.
-    The next line's `held_back` field counts the suppressed ones.
+    Events with the same type and `repeat_key` are written at most once per `REPEAT_SECONDS`;
+    the field `held_back` of the next line is the number of suppressed events.
     """
 
     def __init__(self, stream: IO[str], level: LogLevel):
--- a/packages/wheatslipd/wheatslipd/telemetry/pages.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/pages.py
@@ -1,8 +1,7 @@
 """The operators' pages, served by circuits.web: health, status, metrics and lift.
 
-circuits.web has its own event loop, so the pages run in a separate thread. They get their
-content by calls into the daemon's loop and share no state with it. circuits.web is slow to
-import, so the daemon imports this module after everything else has started.
+The pages run in a thread, because circuits.web has its own event loop, and get their content by
+calls into the daemon's loop. The daemon imports this module last: circuits.web loads slowly.
 """
 
 import asyncio
--- a/packages/wheatslipd/wheatslipd/telemetry/statereport.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/statereport.py
@@ -97,7 +97,7 @@
     def _is_ready(self) -> bool:
         """Whether the daemon accepts callers.
 
-        A daemon that lists itself still accepts them while its backend server leaves and
+        While its backend server leaves, a daemon that lists itself still accepts them and
         forwards their requests to other backend servers.
         """
         view = self._view
--- a/packages/wheatslipd/wheatslipd/telemetry/tracing.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/tracing.py
@@ -1,7 +1,6 @@
 """Traces: one span per hop, propagated by the W3C traceparent header.
 
-The daemon where a trace starts decides whether it is sampled. An unsampled request costs one
-random number or the parsing of one header, and no span.
+The daemon where a trace starts decides whether it is sampled.
 """
 
 from dataclasses import dataclass
@@ -70,9 +69,7 @@
 
     @cached_property
     def _provider(self) -> "TracerProvider":
-        """The span provider, imported with the first span: a daemon that samples nothing saves
-        the import time and memory of the OpenTelemetry SDK.
-        """
+        """The span provider; the first span imports the OpenTelemetry SDK, which is large."""
         from opentelemetry.sdk.resources import Resource
         from opentelemetry.sdk.trace import TracerProvider
         from opentelemetry.sdk.trace.export import BatchSpanProcessor, ConsoleSpanExporter
