--- a/packages/wheatslipd/wheatslipd/gate/backend.py
+++ b/packages/wheatslipd/wheatslipd/gate/backend.py
@@ -50,10 +50,9 @@
     ) -> BackendAnswer | NotRun | Unknown:
         """Send a request. `NotRun` guarantees that no byte of it reached the server.
 
-        `echo` is a header name and value that the server copies into the response; it tells the
-        response to this request from a surplus one on the same connection. `connect_timeout`
-        (seconds) raises the default connect timeout. `on_connected` is called before the first
-        byte is sent.
+        `echo` is a header name and value that the server copies into its response, so that a
+        second response to an earlier request is detected. `connect_timeout` (seconds) raises
+        the default connect timeout. `on_connected` is called before the first byte is sent.
         """
         now = asyncio.get_running_loop().time()
         timeout = max(self._connect_timeout, connect_timeout)
--- a/packages/wheatslipd/wheatslipd/gate/gate.py
+++ b/packages/wheatslipd/wheatslipd/gate/gate.py
@@ -25,14 +25,12 @@
 from wheatslipd.settings import LogLevel
 from wheatslipd.telemetry import logs
 
-# Consecutive requests without a connection, or with one that broke before the response, after
-# which the server counts as lost.
-LOST_AFTER_FAILURES = 2
+LOST_AFTER_FAILURES = 2  # consecutive connection failures after which the server counts as lost
 
 
 @dataclass(frozen=True, slots=True)
 class SpeedProbing:
-    """How a gate probes the speed of its server before it starts a request."""
+    """How a gate probes the speed of its server before a request starts."""
 
     probe: Callable[["Gate"], Awaitable[None]]  # updates the gate, in bounded time
     price: float  # cost of one probe, as a fraction of the value of a response within target
@@ -89,8 +87,8 @@
         """Record the end of a started request; `worked` if the backend server answered it."""
         if logs.is_enabled(LogLevel.DEBUG):
             self._log_finished_call(ticket, worked)
-        started = self.admission.finish(ticket, self._clock(), worked=worked)
-        self._end_waits(started)
+        started_tickets = self.admission.finish(ticket, self._clock(), worked=worked)
+        self._end_waits(started_tickets)
 
     def load_report(self) -> LoadReport:
         """The current load, sent with each response."""
@@ -113,8 +111,8 @@
     def on_server_replaced(self) -> None:
         """Close the gate after a response that shows that another server is listening.
 
-        It opens when a heartbeat has identified that server. Until then the server would reject
-        each request, and each rejection would cost a retry.
+        It opens when a heartbeat has identified that server, which rejects all requests until
+        then.
         """
         if not self.is_closed_by(ClosedBy.SERVER_UNKNOWN):
             logs.info("backend-replaced", in_flight=self.admission.in_flight)
@@ -180,7 +178,7 @@
         if self.is_closed_by(ClosedBy.SERVER_LOST):
             logs.info("backend-back")
             self.admission.closures.remove(ClosedBy.SERVER_LOST)
-            # It may have restarted and be cold; its answer to a probe clears this.
+            # It may have restarted and be cold; the answer to a probe corrects this.
             self.admission.cold.assume_cold(self._clock())
             self.assume_usual_speed()
 
@@ -236,8 +234,8 @@
     def should_probe(self) -> bool:
         """Whether to probe now, while `needs_probe` is set.
 
-        A probe is due if a queued request depends on it, or if the server is probably fast
-        again, so that entries learn of it.
+        A probe is due if the server is lost or its speed or cold state is unknown, if a request
+        is queued, or if the server is probably fast again.
         """
         admission = self.admission
         if self.is_closed_by(ClosedBy.ZONE_UNKNOWN) or self.is_closed_by(ClosedBy.ZONE_DRAINED):
@@ -294,8 +292,8 @@
         finally:
             del self._waiting[ticket]
 
-    def _end_waits(self, started: list[Ticket]) -> None:
-        for ticket in started:
+    def _end_waits(self, started_tickets: list[Ticket]) -> None:
+        for ticket in started_tickets:
             self._end_wait(ticket, None)
         self._schedule_cold_start()
 
--- a/packages/wheatslipd/wheatslipd/gate/idleprobe.py
+++ b/packages/wheatslipd/wheatslipd/gate/idleprobe.py
@@ -1,7 +1,7 @@
 """Probes the health endpoint of an idle backend server, at a configured maximum rate.
 
-Responses to requests report the load, so probes are sent only if no request has finished for a
-while. If the endpoint reports that the server is draining, the daemon drains too.
+A busy server is not probed: its responses report the load. If the endpoint reports that the
+server is draining, the daemon drains too.
 """
 
 import asyncio
@@ -64,10 +64,10 @@
                 await self._probe()
 
     async def _probe(self) -> None:
-        started = self._clock()
+        started_at = self._clock()
         head = await ask_health(self._backend, self._path, PROBE_TIMEOUT_SECONDS)
         self._metrics.probes.inc({})
-        self._metrics.probe_seconds.add({}, self._clock() - started)
+        self._metrics.probe_seconds.add({}, self._clock() - started_at)
         if head is None:
             logs.warning("probe-failed", repeat_key="probe")
         elif head.get(DRAINING_HEADER) == b"yes":
--- a/packages/wheatslipd/wheatslipd/gate/keyguard.py
+++ b/packages/wheatslipd/wheatslipd/gate/keyguard.py
@@ -1,4 +1,4 @@
-"""At-most-once execution of keyed calls: checks lease, key ownership and key ledger."""
+"""At-most-once execution of calls with a key: checks lease, key owner and key ledger."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,8 +27,8 @@
     def claim(self, call: Call) -> Claim | NotRun | Unknown:
         """Claim the key of a call.
 
-        With a fresh claim, run the call and then call `settle`; with a done one, repeat its
-        kept answer. Otherwise the outcome is final.
+        If the claim is fresh, the caller runs the call and then calls `settle`. If it is done,
+        the caller repeats the kept answer. Any other outcome is final.
         """
         now = self.unix()
         if not self.owners.is_lease_held(self.list_checked_at(), now):
--- a/packages/wheatslipd/wheatslipd/gate/peerport.py
+++ b/packages/wheatslipd/wheatslipd/gate/peerport.py
@@ -49,11 +49,9 @@
 from wheatslipd.telemetry.outcometext import describe
 from wheatslipd.telemetry.tracing import TRACEPARENT, HopTrace, HopTracer
 
-# Time that a request waits for this daemon to reach the configuration version of its entry.
-CATCH_UP_TIMEOUT_SECONDS = 0.5
+CATCH_UP_TIMEOUT_SECONDS = 0.5  # longest wait for the configuration version of the entry
 CATCH_UP_POLL_SECONDS = 0.02
-# Bytes of a body that are buffered before the request takes a slot, so that a slow upload does
-# not hold a slot. As much as an entry buffers (`REPLAY_LIMIT_BYTES`).
+# Buffered before a request takes a slot, so that a slow upload does not hold a slot.
 BUFFERED_BODY_BYTES = 64 * 1024
 MISDIRECTED_STATUS = 421  # HTTP 421 Misdirected Request: the server is not the registered one
 
@@ -165,9 +163,8 @@
         """Return a refusal if the entry used an outdated list or configuration."""
         if not self._settings.by_routes:
             return await self._check_version(hop.version, exchange)
-        # The entry selected the pool by its routes, so the version here does not matter. But
-        # this daemon may have reused the address of one in another pool since the entry read
-        # the list.
+        # The entry selected the pool by its routes, so the version here does not matter. The
+        # pool may differ if this daemon's address belonged to another one in the entry's list.
         if hop.service != self._settings.pool:
             return NotRun(Reason.WRONG_POOL)
         if hop.version > self._view.version:
@@ -179,8 +176,8 @@
         if self._view.version >= version and self._view.configuration is not None:
             return None
         self._on_newer_version(version, exchange.connection.peer_address)
-        give_up_at = self._clock() + CATCH_UP_TIMEOUT_SECONDS
-        while self._clock() < give_up_at:
+        wait_until = self._clock() + CATCH_UP_TIMEOUT_SECONDS
+        while self._clock() < wait_until:
             await asyncio.sleep(CATCH_UP_POLL_SECONDS)
             if self._view.version >= version:
                 return None
@@ -237,22 +234,22 @@
                 answer = await self._send(request, remaining, run)
             if not isinstance(answer, BackendAnswer):
                 self._gate.on_connection_failure()
-                return await self._after_loss(run, answer)
+                return await self._handle_loss(run, answer)
             self._gate.on_answer()
             worked = True
             try:
                 outcome = await self._relay_answer(request, answer, kept)
             finally:
                 self._backend.release(answer)
-            return await self._after_answer(run, outcome)
+            return await self._record_outcome(run, outcome)
         except TimeoutError:
             return Unknown(Reason.DEADLINE)
         finally:
             self._end_detector.exposure.left(run, self._clock())
             self._gate.finish_call(ticket, worked=worked)
 
-    async def _after_loss(self, run: Run, outcome: NotRun | Unknown) -> NotRun | Unknown:
-        """Handle a missing response: check whether the server has ended."""
+    async def _handle_loss(self, run: Run, outcome: NotRun | Unknown) -> NotRun | Unknown:
+        """Record a request without a complete response; check whether the server has ended."""
         if isinstance(outcome, NotRun):
             self._end_detector.exposure.not_run(run)
             self._end_detector.start_check()
@@ -261,7 +258,7 @@
         has_ended = await self._end_detector.has_server_ended()
         return Unknown(Reason.SERVER_ENDED) if has_ended else outcome
 
-    async def _after_answer(self, run: Run, outcome: Outcome) -> Outcome:
+    async def _record_outcome(self, run: Run, outcome: Outcome) -> Outcome:
         """Record the outcome of a request whose response head arrived."""
         match outcome:
             case Answered(status) if status >= SERVER_ERROR:
@@ -273,7 +270,7 @@
             case NotRun():
                 self._end_detector.exposure.not_run(run)
             case Unknown():
-                await self._after_loss(run, outcome)
+                await self._handle_loss(run, outcome)
         return outcome
 
     def _send(
@@ -287,8 +284,8 @@
             self._backend_head(request),
             request.exchange.body,
             (echo, request_id) if echo and request_id else None,
-            # A repeated send of the key is refused as running, so connecting may use all of
-            # the remaining time.
+            # Another send of the key would be refused as running, so connecting may take all
+            # of the remaining time.
             remaining if call.is_at_most_once else 0.0,
             lambda: self._end_detector.exposure.begin(run),
         )
@@ -298,7 +295,7 @@
     ) -> Outcome:
         response = answer.response
         self._update_load(response.head)
-        if self._was_turned_away(response.head, request.call):
+        if self._reports_not_run(response.head, request.call):
             if self.server and response.head.status == MISDIRECTED_STATUS:
                 self._gate.on_server_replaced()
             return SHED_BY_SERVER
@@ -335,7 +332,7 @@
         else:
             self._gate.on_missing_load()
 
-    def _was_turned_away(self, head: ResponseHead, call: Call) -> bool:
+    def _reports_not_run(self, head: ResponseHead, call: Call) -> bool:
         """Whether the backend server reports that it did not run the request."""
         if self._names.not_run and head.get(self._names.not_run) is not None:
             return True
--- a/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
+++ b/packages/wheatslipd/wheatslipd/gate/recoveryprobe.py
@@ -1,7 +1,7 @@
 """Probes a backend server that answers too few requests to report its speed with them.
 
-A slow server gets little new work, a lost server gets none, and a newly registered server has
-not answered any request yet.
+A slow server gets few requests, a lost server gets none, and a newly registered server has not
+answered any request yet.
 """
 
 import asyncio
--- a/packages/wheatslipd/wheatslipd/gate/serverend.py
+++ b/packages/wheatslipd/wheatslipd/gate/serverend.py
@@ -1,8 +1,7 @@
 """Detects that the local backend server has ended, and which requests it was running.
 
-A broken connection is not enough: an overloaded server may reset some connections and go on.
-The server has ended if no request is in flight on its connections any more, and its port
-refuses a new connection.
+The server has ended if no request is in flight on its connections any more and its port refuses
+a new connection. A broken connection proves nothing: an overloaded server may reset some.
 """
 
 import asyncio
@@ -18,12 +17,8 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.telemetry.metrics import Metrics
 
-# Minimum time between two checks, so that a server that resets many connections does not get
-# as many new ones.
-CHECK_INTERVAL_SECONDS = 0.05
-# Time within which all connections of an ended process break. A server that resets some of its
-# connections, or refuses a new one because it is full, keeps the others.
-DISCONNECT_SECONDS = 0.01
+CHECK_INTERVAL_SECONDS = 0.05  # minimum time between two checks, each of which connects
+DISCONNECT_SECONDS = 0.01  # time within which all connections of an ended process break
 MAX_LOGGED_FINGERPRINTS = 16  # in the log line of one end
 
 
--- a/packages/wheatslipd/wheatslipd/gate/speedcheck.py
+++ b/packages/wheatslipd/wheatslipd/gate/speedcheck.py
@@ -18,10 +18,8 @@
 from wheatslipd.telemetry.metrics import Metrics
 
 PROBE_TIMEOUT_SECONDS = 0.2
-# Time for which a request waits for a probe, which continues after that.
-REQUEST_WAIT_SECONDS = 0.02
-# Time for which requests start without a probe after one that was not answered in time.
-UNANSWERED_PAUSE_SECONDS = 0.5
+REQUEST_WAIT_SECONDS = 0.02  # longest wait of a request for a probe, which continues after it
+UNANSWERED_PAUSE_SECONDS = 0.5  # requests start without a probe after an unanswered one
 
 
 class SpeedCheck:
--- a/packages/wheatslipd/wheatslipd/gate/suspects.py
+++ b/packages/wheatslipd/wheatslipd/gate/suspects.py
@@ -1,7 +1,7 @@
 """Limits suspects, which are requests that may end the server that runs them.
 
-At most one suspect runs at a time, so that an end of the server points to a single one, and
-harmless suspects are answered eventually, which clears them. Other requests run concurrently.
+At most one suspect runs at a time, so that an end of the server identifies it. A suspect that
+the server answers is cleared. Other requests run concurrently.
 """
 
 import asyncio
@@ -13,8 +13,7 @@
 from wheatslip.quarantine import Quarantine, Standing
 from wheatslip.retryafter import SUSPECT_RUNS, held_refusal
 
-# Longest wait of a suspect for another one, so that one that hangs does not block the others.
-MAX_SUSPECT_WAIT_SECONDS = 1.0
+MAX_SUSPECT_WAIT_SECONDS = 1.0  # for the running suspect, which may hang
 
 
 class SuspectGuard:
@@ -71,10 +70,10 @@
     async def _acquire_suspect_lock(self, call: Call, max_wait: float) -> bool:
         """Wait until no other suspect runs here; return False on timeout."""
         now = self._clock()
-        until = call.deadline if call.hold_until >= UNLIMITED else call.hold_until
+        wait_until = call.deadline if call.hold_until >= UNLIMITED else call.hold_until
         try:
             async with asyncio.timeout(
-                max(0.0, min(max_wait, until - now, MAX_SUSPECT_WAIT_SECONDS))
+                max(0.0, min(max_wait, wait_until - now, MAX_SUSPECT_WAIT_SECONDS))
             ):
                 await self._suspect_lock.acquire()
         except TimeoutError:
