--- a/packages/wheatslipd/wheatslipd/http/body.py
+++ b/packages/wheatslipd/wheatslipd/http/body.py
@@ -19,7 +19,7 @@
         self._resume = resume
         self._chunks: deque[bytes] = deque()
         self.buffered_bytes = 0  # bytes received and not yet read
-        self._paused = False
+        self._is_paused = False
         self._is_truncated = False
         self._waiter: asyncio.Future[None] | None = None
         self.complete = False
@@ -38,8 +38,8 @@
         """Add a chunk; pauses the socket above `HIGH_WATER_BYTES`."""
         self._chunks.append(chunk)
         self.buffered_bytes += len(chunk)
-        if self.buffered_bytes > HIGH_WATER_BYTES and not self._paused:
-            self._paused = True
+        if self.buffered_bytes > HIGH_WATER_BYTES and not self._is_paused:
+            self._is_paused = True
             self._pause()
         self._wake()
 
@@ -111,8 +111,8 @@
             yield chunk
 
     def _resume_socket(self) -> None:
-        if self._paused:
-            self._paused = False
+        if self._is_paused:
+            self._is_paused = False
             self._resume()
 
     def _wake(self) -> None:
--- a/packages/wheatslipd/wheatslipd/http/client.py
+++ b/packages/wheatslipd/wheatslipd/http/client.py
@@ -35,8 +35,8 @@
 class ClientConnection(Connection):
     """A connection that carries one request at a time.
 
-    Bytes received while no request is in flight mean that the two ends disagree on where
-    messages start. The connection is then closed and not reused.
+    The connection is closed if it receives bytes while no request is in flight: the two ends
+    disagree on where messages start.
     """
 
     def __init__(self) -> None:
@@ -141,10 +141,10 @@
         """Fail the request in flight."""
         super().connection_lost(exc)
         self.timed_out = isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT
-        # After the request is acknowledged, only keepalive probes can time out. That takes at
-        # least `KEEPALIVE_SECONDS`.
-        soon = asyncio.get_running_loop().time() - self._sent_at < KEEPALIVE_SECONDS
-        self.request_unacknowledged = self.timed_out and soon
+        # Once the request is acknowledged, only keepalive probes can time out, which takes at
+        # least `KEEPALIVE_SECONDS`. An earlier timeout means that it was not acknowledged.
+        is_too_soon = asyncio.get_running_loop().time() - self._sent_at < KEEPALIVE_SECONDS
+        self.request_unacknowledged = self.timed_out and is_too_soon
         if self._body is not None and not self._body.complete:
             if exc is None and self._body_until_close:
                 self._body.finish()
--- a/packages/wheatslipd/wheatslipd/http/connection.py
+++ b/packages/wheatslipd/wheatslipd/http/connection.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import cast
 
-# Limits of a message head. They bound its memory use and are above what callers send.
+# Limits of a message head, which bound its memory use.
 MAX_HEAD_BYTES = 32 * 1024
 MAX_HEADERS = 100
 
--- a/packages/wheatslipd/wheatslipd/http/exchange.py
+++ b/packages/wheatslipd/wheatslipd/http/exchange.py
@@ -28,7 +28,7 @@
     expects_continue: bool
     started: bool = False  # whether the response has begun
     finished: bool = False  # whether the response is complete
-    _chunked: bool = False
+    _is_chunked: bool = False
     _has_no_body: bool = False  # whether the response has no body, regardless of its headers
     _buffered: list[bytes] = field(default_factory=list)  # sent by `flush`
     _buffered_bytes: int = 0
@@ -48,20 +48,19 @@
         has_length = head.get(b"content-length") is not None
         self._has_no_body = self.head.method == b"HEAD" or head.status in NO_BODY_STATUSES
         needs_framing = not has_length and not self._has_no_body
-        self._chunked = needs_framing and not self.head.is_http_1_0
-        # An incomplete request body may never be read, and the next request behind it could not
-        # be parsed. The response must announce the close. Otherwise the client sends its next
-        # request into a closing connection.
-        close = not self.head.keep_alive or not self.body.complete
-        close = close or (needs_framing and self.head.is_http_1_0)
-        self.head.keep_alive = not close
-        self._buffer(encode_response(head, chunked=self._chunked, close=close))
+        self._is_chunked = needs_framing and not self.head.is_http_1_0
+        # If the request body is incomplete, the next request may never be reached. The response
+        # must announce the close, or the client sends its next request on a closing connection.
+        must_close = not self.head.keep_alive or not self.body.complete
+        must_close = must_close or (needs_framing and self.head.is_http_1_0)
+        self.head.keep_alive = not must_close
+        self._buffer(encode_response(head, chunked=self._is_chunked, close=must_close))
 
     async def write(self, chunk: bytes) -> None:
         """Add a chunk of the body; it is buffered until `MAX_BUFFERED_BYTES` or `flush`."""
         if self._has_no_body or not chunk:
             return
-        self._buffer(encode_chunk(chunk) if self._chunked else chunk)
+        self._buffer(encode_chunk(chunk) if self._is_chunked else chunk)
         if self._buffered_bytes >= MAX_BUFFERED_BYTES:
             await self.flush()
 
@@ -75,7 +74,7 @@
 
     async def finish(self) -> None:
         """End the response and flush it."""
-        if self._chunked:
+        if self._is_chunked:
             self._buffer(LAST_CHUNK)
         await self.flush()
         self.finished = True
--- a/packages/wheatslipd/wheatslipd/http/messages.py
+++ b/packages/wheatslipd/wheatslipd/http/messages.py
@@ -21,7 +21,7 @@
     }
 )
 WHEATSLIP_PREFIX = b"wheatslip-"
-MILLISECONDS_PER_SECOND = 1000.0  # per second; durations in headers are in milliseconds
+MILLISECONDS_PER_SECOND = 1000.0
 NO_BODY_STATUSES = frozenset({204, 304})
 
 _REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
--- a/packages/wheatslipd/wheatslipd/http/pool.py
+++ b/packages/wheatslipd/wheatslipd/http/pool.py
@@ -6,8 +6,7 @@
 
 from wheatslipd.http.client import ClientConnection
 
-# Shorter than the server's idle timeout, so that a request rarely meets a closing connection.
-MAX_IDLE_SECONDS = 30.0
+MAX_IDLE_SECONDS = 30.0  # shorter than the server's `IDLE_TIMEOUT_SECONDS`
 
 
 class ConnectionPool:
@@ -46,8 +45,8 @@
     def release(self, connection: ClientConnection) -> None:
         """Keep the connection if it is reusable, close it otherwise.
 
-        If it timed out, the idle connections are closed too: they would most likely time out as
-        well, each with a request in flight.
+        If it timed out, the idle connections are closed too, because they would probably time
+        out with the next requests.
         """
         if not connection.reusable:
             self._discard(connection)
--- a/packages/wheatslipd/wheatslipd/http/server.py
+++ b/packages/wheatslipd/wheatslipd/http/server.py
@@ -38,7 +38,7 @@
         self._task: asyncio.Task[None] | None = None  # runs the handler
         self._rejection_status = 0  # HTTP status for malformed data; 0: none received
         self._rejected_exchange: Exchange | None = None  # the request with a malformed body
-        self._head_bytes_fed = 0  # bytes received while the head was incomplete
+        self._incomplete_head_bytes = 0  # bytes received while the head was incomplete
         self.idle_since = 0.0  # by the loop's clock
 
     @property
@@ -69,8 +69,8 @@
         except httptools.HttpParserUpgrade:
             self._reject(501)
         except httptools.HttpParserCallbackError as error:
-            too_large = isinstance(error.__context__, HeadTooLarge)
-            self._reject(431 if too_large else 400)
+            is_too_large = isinstance(error.__context__, HeadTooLarge)
+            self._reject(431 if is_too_large else 400)
         except httptools.HttpParserError:
             self._reject(400)
         else:
@@ -85,7 +85,7 @@
     def on_message_begin(self) -> None:
         super().on_message_begin()
         self._target = b""
-        self._head_bytes_fed = 0
+        self._incomplete_head_bytes = 0
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -105,8 +105,8 @@
             self._parser.should_keep_alive(),
             self._parser.get_http_version() == "1.0",
         )
-        expects = (head.get(b"expect") or b"").lower() == b"100-continue"
-        exchange = Exchange(self, head, Body(self.pause, self.resume), expects)
+        expects_continue = (head.get(b"expect") or b"").lower() == b"100-continue"
+        exchange = Exchange(self, head, Body(self.pause, self.resume), expects_continue)
         self._incoming = exchange
         self._waiting.append(exchange)
         if len(self._waiting) > MAX_PIPELINED:
@@ -161,8 +161,7 @@
         elif not exchange.head.keep_alive or not exchange.body.complete:
             self.close()
         else:
-            # An unread body may have paused the socket. Without a resume the next request would
-            # never be read.
+            # Resumes the socket, which an unread body may have paused.
             exchange.body.drop()
             self._start_next()
 
@@ -178,18 +177,18 @@
         self._mark_idle()
 
     def _reject(self, status: int) -> None:
-        """Stop parsing; respond with `status` after the requests received before."""
+        """Stop parsing; respond with `status` after the responses to all earlier requests."""
         self._rejection_status = status
         self._rejected_exchange = self._incoming
         if self._incoming is not None:
             self._incoming.body.mark_truncated()
         self._start_next()
 
-    def _check_head_size(self, fed: int) -> None:
+    def _check_head_size(self, received_bytes: int) -> None:
         """Reject a head that never ends: the parser reports only complete headers."""
         if self._incoming is None and self._in_head:
-            self._head_bytes_fed += fed
-            if self._head_bytes_fed > 2 * MAX_HEAD_BYTES and self.is_idle:
+            self._incomplete_head_bytes += received_bytes
+            if self._incomplete_head_bytes > 2 * MAX_HEAD_BYTES and self.is_idle:
                 self._reject(431)
 
     def _mark_idle(self) -> None:
@@ -238,17 +237,17 @@
         deadline = loop.time() + grace
         while any(not c.is_idle for c in self._connections) and loop.time() < deadline:
             await asyncio.sleep(0.02)
-        finished = all(connection.is_idle for connection in self._connections)
+        all_finished = all(connection.is_idle for connection in self._connections)
         for connection in list(self._connections):
             connection.close()
-        return finished
+        return all_finished
 
     def _close_idle_connections(self) -> None:
         """Close connections idle for longer than `IDLE_TIMEOUT_SECONDS`; repeats by timer."""
         loop = asyncio.get_running_loop()
-        oldest = loop.time() - IDLE_TIMEOUT_SECONDS
+        idle_cutoff = loop.time() - IDLE_TIMEOUT_SECONDS
         for connection in list(self._connections):
-            if connection.is_idle and connection.idle_since < oldest:
+            if connection.is_idle and connection.idle_since < idle_cutoff:
                 connection.close()
         self._idle_check_timer = loop.call_later(
             IDLE_CHECK_SECONDS, self._close_idle_connections
