--- a/packages/wheatslipd/wheatslipd/entry/filters.py
+++ b/packages/wheatslipd/wheatslipd/entry/filters.py
@@ -26,7 +26,7 @@
 DEPTH_HEADER = b"wheatslip-depth"
 MAX_DEPTH = 16  # nested calls; a longer chain is probably a loop
 BEARER_PREFIX = b"Bearer "
-# Safe methods by HTTP: their requests are repeatable unless the caller names a kind.
+# Safe methods of HTTP: their requests are repeatable unless the caller names a kind.
 SAFE_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS"})
 READ_KIND = RequestKind("read", repeatable=True)
 ONCE_KIND = RequestKind("once", repeatable=False)
@@ -79,9 +79,8 @@
 class ReadyFilter:
     """Refuses requests while the daemon has no configuration or is stopping.
 
-    After a power loss, all callers send at once while daemons still read their configuration.
-    Requests that arrive during startup wait, since a refused caller would lose a large part of
-    its deadline before it retries.
+    Requests that arrive during startup wait for the configuration, because a refused caller
+    would lose a large part of its deadline before it retries.
     """
 
     view: View
@@ -145,9 +144,9 @@
         """Set the call; refuse invalid headers."""
         assert request.workspace is not None and request.service is not None
         head = request.exchange.head
-        kind = _kind(head, request.service)
-        allowed_seconds = _allowed_seconds(head, request.service.max_deadline)
-        depth = _depth(head)
+        kind = _read_kind(head, request.service)
+        allowed_seconds = _read_allowed_seconds(head, request.service.max_deadline)
+        depth = _read_depth(head)
         key = (head.get(KEY_HEADER) or b"").decode("ascii", "replace")
         if kind is None or allowed_seconds is None or depth is None:
             return NotRun(Reason.BAD_REQUEST)
@@ -182,7 +181,7 @@
     return workspace == service.workspace or workspace in service.callers
 
 
-def _kind(head: RequestHead, service: Service) -> RequestKind | None:
+def _read_kind(head: RequestHead, service: Service) -> RequestKind | None:
     name = head.get(KIND_HEADER)
     if name is None:
         return READ_KIND if head.method in SAFE_METHODS else ONCE_KIND
@@ -190,7 +189,7 @@
     return kind.as_request_kind() if kind else None
 
 
-def _allowed_seconds(head: RequestHead, max_seconds: float) -> float | None:
+def _read_allowed_seconds(head: RequestHead, max_seconds: float) -> float | None:
     value = head.get(DEADLINE_HEADER)
     if value is None:
         return max_seconds
@@ -201,7 +200,7 @@
     return min(max_seconds, milliseconds / MILLISECONDS_PER_SECOND)
 
 
-def _depth(head: RequestHead) -> int | None:
+def _read_depth(head: RequestHead) -> int | None:
     value = head.get(DEPTH_HEADER)
     if value is None:
         return 0
--- a/packages/wheatslipd/wheatslipd/entry/forward.py
+++ b/packages/wheatslipd/wheatslipd/entry/forward.py
@@ -1,9 +1,6 @@
 """The end of the entry's chain: chooses a backend server, sends the request, and retries.
 
 `wheatslip.attempts` decides on the destination and on retries; this module carries them out.
-The stages of a request are `EntryRequest` (as the filters left it), `_PreparedRequest` (with
-its body buffered up to the replay limit), `Try` and `Peer` (the destination of one try), and
-the `Outcome` of each try.
 """
 
 import asyncio
@@ -41,9 +38,7 @@
 from wheatslipd.telemetry.tracing import TRACEPARENT
 
 WIRE_TIME_DECIMALS = 3  # of times in seconds in the hop header
-# Largest body that is buffered so that it can be sent again; a larger one is streamed and sent
-# once. Each request in flight may buffer as much.
-REPLAY_LIMIT_BYTES = 64 * 1024
+REPLAY_LIMIT_BYTES = 64 * 1024  # largest body that is buffered; a larger one is sent only once
 CONNECT_TIMEOUT_SECONDS = 0.25
 # Reasons of refusals for which the backend server counts as failed.
 _SERVER_FAILURE_REASONS = frozenset(
@@ -74,7 +69,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PreparedRequest:
-    """A request that is ready to be sent; shared by its tries."""
+    """A request with its body buffered up to the replay limit; shared by its tries."""
 
     request: EntryRequest
     call: Call
@@ -182,7 +177,7 @@
 
     @staticmethod
     def _log_held_request(prepared: _PreparedRequest) -> None:
-        """Log method and path: the fingerprint alone does not identify the request."""
+        """Log the request with method and path, since the fingerprint does not show them."""
         call = prepared.call
         head = prepared.request.exchange.head
         fingerprint = prepared.guard.fingerprint
@@ -382,7 +377,7 @@
             await request.exchange.write(buffered)
             await request.exchange.relay(response.body)
         except BodyTruncated:
-            # The caller's connection is broken off, so a truncated body does not look complete.
+            # The caller's connection is aborted, so a truncated body does not look complete.
             return Unknown(Reason.CONNECTION_LOST)
         return Answered(head.status)
 
--- a/packages/wheatslipd/wheatslipd/entry/refusals.py
+++ b/packages/wheatslipd/wheatslipd/entry/refusals.py
@@ -45,9 +45,8 @@
 ) -> None:
     """Respond with a refusal.
 
-    With `by_routes`, the caller does not read `wheatslip-*` headers: the status alone must show
-    that the request was not run, and `Retry-After` has fractions of a second. Otherwise these
-    headers carry the outcome and the exact retry-after time.
+    With `by_routes`, callers do not read `wheatslip-*` headers: the status alone must show that
+    the request was not run, and `Retry-After` has fractions of a second.
     """
     headers: Headers = [(OUTCOME_HEADER, encode_outcome(outcome)), *(extra_headers or [])]
     status = status_of(outcome, by_routes=by_routes)
--- a/packages/wheatslipd/wheatslipd/entry/routefilter.py
+++ b/packages/wheatslipd/wheatslipd/entry/routefilter.py
@@ -41,15 +41,15 @@
         request.service = request.configuration.services.get(pick_service(route, self.rng))
         if request.service is None:
             return NO_SUCH_SERVICE
-        remaining = self._remaining(head, route)
+        remaining = self._read_remaining(head, route)
         if remaining is None:
             return NotRun(Reason.BAD_REQUEST)
         if remaining <= 0:
             return NotRun(Reason.DEADLINE)
-        request.call = self._call(request, route, remaining)
+        request.call = self._build_call(request, route, remaining)
         return await proceed(request)
 
-    def _call(self, request: EntryRequest, route: Route, remaining: float) -> Call:
+    def _build_call(self, request: EntryRequest, route: Route, remaining: float) -> Call:
         assert request.service is not None
         allowed_seconds = min(route.timeout, remaining)
         waited_seconds = self.caller_wait.elapsed_wait(
@@ -71,7 +71,7 @@
             request_id=request_id.decode("latin-1"),
         )
 
-    def _remaining(self, head: RequestHead, route: Route) -> float | None:
+    def _read_remaining(self, head: RequestHead, route: Route) -> float | None:
         """Seconds until the caller's deadline; None if the deadline header is invalid."""
         value = head.get(self.names.deadline) if self.names.deadline else None
         if value is None:
--- a/packages/wheatslipd/wheatslipd/entry/sendguard.py
+++ b/packages/wheatslipd/wheatslipd/entry/sendguard.py
@@ -1,7 +1,6 @@
 """Keeps an entry from sending requests that end the servers that run them.
 
-The fingerprint of a request is computed only when it is needed: while the quarantine has any
-entry, or for a body that is streamed before it is complete.
+A fingerprint is computed only if the quarantine is not empty or the body is streamed.
 """
 
 from collections.abc import Callable
