--- a/packages/wheatslipd/wheatslipd/feed/__init__.py
+++ b/packages/wheatslipd/wheatslipd/feed/__init__.py
@@ -20,8 +20,8 @@
   force. If it is newer, `hinthandler` asks that daemon and then the platform.
 
 A daemon reads the platform once at its start (`reader`), because it needs the instance list to
-find a parent. When no parent sends anything new, it reads again what it does not watch itself:
-its list may be too old to contain the current address of any parent.
+find a parent. When no parent sends anything new, it reads what it does not watch itself again:
+the addresses of all parents in its list may be outdated.
 
 `cachewriter` checks updates from every source and is the only writer of the cache. `verifier`
 decides whether a bundle or a zone drain may be put in force. `feed` creates the parts and runs
--- a/packages/wheatslipd/wheatslipd/feed/access.py
+++ b/packages/wheatslipd/wheatslipd/feed/access.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformAccess:
-    """The platform's object store, the retry settings, and the writer of the answers."""
+    """The platform's object store, the settings for calls to it, and the cache writer."""
 
     store: ObjectStore
     cache_writer: CacheWriter
--- a/packages/wheatslipd/wheatslipd/feed/cachewriter.py
+++ b/packages/wheatslipd/wheatslipd/feed/cachewriter.py
@@ -90,7 +90,7 @@
     def apply_listing(self, listing: Listing) -> None:
         """Apply the complete list or changes of it."""
         if listing.version < self.cache.listed:
-            return  # another daemon has already sent a later one
+            return  # another daemon has already sent a newer list
         changes = [
             change for change in map(_decode_list_change, listing.items) if change is not None
         ]
@@ -107,11 +107,13 @@
     def apply_end_reports(self, reports: tuple[EndReport, ...], source: str) -> None:
         """Add end reports received from the daemon `source`; forward those that are new."""
         now = self._unix()
-        new = tuple(report for report in reports if self.cache.ends.add(report, source, now))
-        if new:
+        new_reports = tuple(
+            report for report in reports if self.cache.ends.add(report, source, now)
+        )
+        if new_reports:
             self._relay.notify_followers()
             self.on_end_reports()
-            self._bus.fire(end_reports_received(new))
+            self._bus.fire(end_reports_received(new_reports))
 
     def apply_update(self, update: Update, source: str) -> None:
         """Apply an update from the daemon `source`."""
@@ -157,10 +159,10 @@
 
     def _apply_list(self, listed: int, changes: list[ListChange], *, whole: bool) -> None:
         changes = self.cache.apply_list(listed, changes, whole=whole)
-        present = tuple(c.instance for c in changes if c.instance is not None)
+        listed_instances = tuple(c.instance for c in changes if c.instance is not None)
         removed = tuple(c.name for c in changes if c.instance is None)
         if whole or changes:
-            self._bus.fire(instances_updated(present, removed, whole))
+            self._bus.fire(instances_updated(listed_instances, removed, whole))
             self._position.update(self.cache.instances.values())
         self._relay.notify_followers()
 
@@ -176,9 +178,9 @@
         match decode_drain(item.name, item.value):
             case Ok(drain):
                 pass
-            case Err(why):
+            case Err(reason):
                 # If the platform is trusted, the existence of the object drains the zone.
-                logs.warning("zone-drain-unreadable", zone=item.name, error=why)
+                logs.warning("zone-drain-unreadable", zone=item.name, error=reason)
                 drain = ZoneDrain(item.name)
         if self._verifier.accepts_drain(drain):
             return drain
@@ -193,10 +195,10 @@
                 self._relay.notify_followers()
                 self._bus.fire(bundle_verified(bundle, head))
             case Ok(_):
-                why = "version or digest differs from the head"
-                logs.error("bundle-refused", version=head.version, why=why)
-            case Err(why):
-                logs.error("bundle-refused", version=head.version, why=why)
+                reason = "version or digest differs from the head"
+                logs.error("bundle-refused", version=head.version, why=reason)
+            case Err(reason):
+                logs.error("bundle-refused", version=head.version, why=reason)
 
 
 def _matches_head(bundle: Bundle, head: Head) -> bool:
@@ -209,6 +211,6 @@
     match decode_instance(item.value):
         case Ok(instance):
             return ListChange(item.version, item.name, instance)
-        case Err(why):
-            logs.error("instance-unreadable", name=item.name, error=why)
+        case Err(reason):
+            logs.error("instance-unreadable", name=item.name, error=reason)
     return None
--- a/packages/wheatslipd/wheatslipd/feed/codec.py
+++ b/packages/wheatslipd/wheatslipd/feed/codec.py
@@ -1,7 +1,4 @@
-"""Codec for the gRPC messages between daemons: msgspec structs encoded as MessagePack.
-
-The messages are the library's typed structs, so no code generation is needed.
-"""
+"""Codec for the gRPC messages between daemons: msgspec structs encoded as MessagePack."""
 
 from typing import Any
 
--- a/packages/wheatslipd/wheatslipd/feed/endreporter.py
+++ b/packages/wheatslipd/wheatslipd/feed/endreporter.py
@@ -1,8 +1,8 @@
 """Sends end reports (a backend server ended without notice) from this daemon to its parent.
 
-Updates carry end reports from a parent to its followers. Together, both directions deliver a
-report to every daemon that the relay tree connects, without the platform. Reports that a
-network partition holds back are delivered once a parent is followed again.
+Updates carry end reports from a parent to its followers, so a report reaches every daemon of
+the relay tree without the platform. After a network partition, pending reports are delivered
+once a parent is followed again.
 """
 
 import asyncio
--- a/packages/wheatslipd/wheatslipd/feed/endstore.py
+++ b/packages/wheatslipd/wheatslipd/feed/endstore.py
@@ -1,8 +1,8 @@
 """Stores the end reports made by this daemon on the platform, for daemons that start later.
 
-Daemons exchange end reports and hold them in memory only. If all daemons stop at once, only the
-copies on the platform remain; each daemon reads the copies of all daemons once at its start. A
-daemon writes only the object that has its own name.
+Daemons hold end reports in memory only, so reports survive a stop of all daemons only on the
+platform. Each daemon writes the object that has its own name, and reads the objects of all
+daemons once at its start.
 """
 
 import asyncio
@@ -92,8 +92,8 @@
     ) -> None:
         """Prepend the reports that an earlier process of this daemon stored."""
         current_ids = {report.id for report in self._reports}
-        earlier = tuple(report for report in reports if report.id not in current_ids)
-        self._reports = (*earlier, *self._reports)[-MAX_STORED_REPORTS:]
+        earlier_reports = tuple(report for report in reports if report.id not in current_ids)
+        self._reports = (*earlier_reports, *self._reports)[-MAX_STORED_REPORTS:]
         self._version = existing.version
 
     async def _write(self) -> bool:
@@ -109,7 +109,7 @@
             case Err(Conflict(None)):
                 self._version = 0
             case Err(Conflict(StoredObject() as existing)):
-                # The answer to an earlier write was lost, or an earlier process wrote.
+                # The response to an earlier write was lost, or an earlier process wrote it.
                 self._merge_own_reports(existing, _decode_reports(existing))
             case Err(Unavailable() as unavailable):
                 log_unavailable(unavailable)
--- a/packages/wheatslipd/wheatslipd/feed/feed.py
+++ b/packages/wheatslipd/wheatslipd/feed/feed.py
@@ -31,7 +31,7 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-HEAD_AGE_CHECK_SECONDS = 1.0  # interval
+HEAD_AGE_CHECK_SECONDS = 1.0  # between two checks
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,11 +108,9 @@
 
     @property
     def head_age(self) -> float | None:
-        """Seconds since the latest confirmation of the head that reached this daemon; None
-        before the first one.
+        """Seconds since the platform last confirmed the head; None before the first time.
 
-        The watcher that received the confirmation from the platform set its time, by its own
-        clock.
+        The time of the confirmation is by the clock of the watcher that received it.
         """
         as_of = self.cache.as_of
         return self._unix() - as_of if as_of else None
@@ -156,19 +154,19 @@
             if settings.watch_check
             else settings.watch
         )
-        lost_after = 2 * interval + 2 * HEARTBEAT_SECONDS
-        head_age = HeadAge(lost_after)
+        lost_after_seconds = 2 * interval + 2 * HEARTBEAT_SECONDS
+        head_age = HeadAge(lost_after_seconds)
         while True:
             await asyncio.sleep(HEAD_AGE_CHECK_SECONDS)
             age = self.head_age
             if age is None:
                 continue
-            way = self.parent or "platform"
+            source = self.parent or "platform"
             match head_age.check_age(age):
                 case AgeChange.LOST:
-                    logs.warning("head-unconfirmed", age=round(age, 1), way=way)
+                    logs.warning("head-unconfirmed", age=round(age, 1), way=source)
                 case AgeChange.FOUND:
-                    logs.info("head-confirmed", version=self.cache_writer.version, way=way)
+                    logs.info("head-confirmed", version=self.cache_writer.version, way=source)
 
     async def _synchronize(self) -> None:
         await self._reader.read_initial_state()
@@ -186,9 +184,9 @@
 
     async def _watch_platform(self) -> None:
         """Watch the platform and follow the ring until this daemon's role changes."""
-        has_list = self._position.watches_list
-        logs.info("watching-platform", has_list=has_list)
+        watches_list = self._position.watches_list
+        logs.info("watching-platform", has_list=watches_list)
         jobs = [self._state_watch.run(), self._follower.run()]
-        if has_list:
+        if watches_list:
             jobs.append(self._list_watch.run())
         await run_until_first_completes(*jobs, self._position.role_changed.wait())
--- a/packages/wheatslipd/wheatslipd/feed/feedsettings.py
+++ b/packages/wheatslipd/wheatslipd/feed/feedsettings.py
@@ -17,6 +17,4 @@
     list_watch: float = WATCH_SECONDS  # longest wait of a watch of the instance list
     list_pause: float = 0.0  # pause between two changes of the instance list
     retry_last: float = BACKOFF_MAX_SECONDS  # longest backoff after a failed call
-    settle: float = (
-        0.0  # at the start: delay before an empty list of the own zone is read again
-    )
+    settle: float = 0.0  # at the start: delay before a list without the own zone is read again
--- a/packages/wheatslipd/wheatslipd/feed/hinthandler.py
+++ b/packages/wheatslipd/wheatslipd/feed/hinthandler.py
@@ -12,20 +12,16 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-# Mean wait for the version to arrive through the relay tree before the daemon that gave the
-# hint is asked; jittered by a factor of 0.5 to 1.5.
-HINT_DELAY_SECONDS = 0.25
-HINT_TIMEOUT_SECONDS = 1.5  # for that daemon to send the version before the platform is read
-# Pause after each handled hint; limits the reads of the platform that hints cause.
-HINT_INTERVAL_SECONDS = 1.0
+HINT_DELAY_SECONDS = 0.25  # mean wait for the version to arrive through the relay tree
+HINT_TIMEOUT_SECONDS = 1.5  # for the daemon that gave the hint to send the version
+HINT_INTERVAL_SECONDS = 1.0  # pause after each hint; limits the reads of the platform
 
 
 class HintHandler:
     """Fetches the bundle version named by a hint if the relay tree does not deliver it in time.
 
-    It asks the daemon that gave the hint first. It reads the platform only if that fails,
-    because the platform would send the complete configuration to all daemons of a zone at once:
-    they receive their hints at the same time.
+    It asks the daemon that gave the hint first, and reads the platform only if that fails. All
+    daemons of a zone get hints at the same time and would load the platform at once.
     """
 
     def __init__(
@@ -75,7 +71,7 @@
         listed = (
             i for i in self._cache_writer.cache.instances.values() if i.address == address
         )
-        # A daemon that has just started has no list. All daemons usually use the same ports.
+        # Without a list, assume the port of this daemon: daemons usually use the same ports.
         assumed = Instance("", "", "", address, 0, 0, self._relay.port)
         instance = next(listed, assumed)
         logs.info("asking-daemon", address=address, hinted_version=self._version)
--- a/packages/wheatslipd/wheatslipd/feed/parentfollower.py
+++ b/packages/wheatslipd/wheatslipd/feed/parentfollower.py
@@ -14,13 +14,9 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-# How long a parent may send the same `as_of` before the next parent is tried: several
-# heartbeats for each level of the tree.
-STALE_TIMEOUT_SECONDS = 15.0
+STALE_TIMEOUT_SECONDS = 15.0  # how long a parent may send the same `as_of`
 NEXT_PARENT_PAUSE_SECONDS = 0.2  # before the next parent is tried
-# Pause after all parents failed. The platform is read once per pause, so this limits the read
-# rate of a zone without watchers.
-ALL_PARENTS_FAILED_PAUSE_SECONDS = 1.0
+ALL_PARENTS_FAILED_PAUSE_SECONDS = 1.0  # limits the reads of the platform, one per pause
 
 
 def list_stale_timeout(list_watch: float) -> float:
@@ -78,9 +74,8 @@
     async def run(self) -> None:
         """Follow one parent after another until this daemon's role changes.
 
-        If no parent sends anything new, all of them may have stopped, or the list that names
-        them may be out of date. In both cases only the platform has a list of other daemons to
-        follow.
+        If no parent sends anything new, the list that names them may be outdated, so the daemon
+        reads the platform.
         """
         failed_parents = 0  # parents tried since the last one that sent something new
         attempts = 0
@@ -103,9 +98,8 @@
     async def _read_platform(self, parent_count: int) -> None:
         """Read from the platform what the parents should have sent.
 
-        Each watcher watches the configuration itself, and one watcher of each zone watches the
-        list. All other daemons get the list only from their parents: with an outdated list they
-        would retry outdated addresses forever.
+        A watcher watches the configuration itself, and one watcher of each zone the list. Other
+        daemons get the list only from parents, whose addresses in their list may be outdated.
         """
         if self._position.watches_list:
             return
@@ -150,33 +144,32 @@
 
         Returns whether it sent something new.
 
-        `as_of` does not increase while the platform does not answer the watchers that the
-        parent's updates come from, or while daemons follow each other in a cycle. A watcher
-        that does not watch the list follows a parent only to get the list, so for it `checked`,
-        the time at which the list was confirmed, must increase too: if two such watchers follow
-        each other, their own watches keep the head current, but neither receives a list.
+        The parent is stale if `as_of`, the time at which the head was confirmed, no longer
+        increases: the platform is not reachable, or daemons follow each other in a cycle. A
+        watcher that does not watch the list follows a parent only for the list, so for it
+        `checked`, the time at which the list was confirmed, must increase too.
         """
         loop = asyncio.get_running_loop()
         needs_list = self._position.is_watcher and not self._position.watches_list
-        head = StalenessTracker(STALE_TIMEOUT_SECONDS, loop.time())
+        head_tracker = StalenessTracker(STALE_TIMEOUT_SECONDS, loop.time())
         list_tracker = StalenessTracker(list_stale_timeout(self._list_watch), loop.time())
         had_new_data = False
         cache = self._cache_writer.cache
-        before = cache.checked if needs_list else cache.as_of
+        last_confirmed = cache.checked if needs_list else cache.as_of
         cursor = cache.cursor(self._position.name)
         async with aclosing(follow_parent(parent, cursor, self._tls)) as updates:
             async for update in updates:
                 confirmed = update.checked if needs_list else update.as_of
-                had_new_data |= confirmed > before or update.listed > cursor.listed
-                head.observe(update.as_of, loop.time())
+                had_new_data |= confirmed > last_confirmed or update.listed > cursor.listed
+                head_tracker.observe(update.as_of, loop.time())
                 list_tracker.observe(update.checked, loop.time())
                 self._cache_writer.apply_update(update, parent.name)
                 now = loop.time()
-                if head.is_stale(now) or (needs_list and list_tracker.is_stale(now)):
+                if head_tracker.is_stale(now) or (needs_list and list_tracker.is_stale(now)):
                     logs.info(
                         "parent-stale",
                         parent=parent.name,
-                        head_age=head.seconds_since_increase(now),
+                        head_age=head_tracker.seconds_since_increase(now),
                     )
                     break
         return had_new_data
--- a/packages/wheatslipd/wheatslipd/feed/position.py
+++ b/packages/wheatslipd/wheatslipd/feed/position.py
@@ -17,8 +17,8 @@
 class RelayPosition:
     """The position derived from the current instance list.
 
-    `role_changed` and `parents_changed` are set on a change; the tasks that wait for them clear
-    them.
+    `role_changed` and `parents_changed` are set on a change, and cleared by the tasks that wait
+    for them.
     """
 
     def __init__(self, name: str, zone: str, watchers: int):
@@ -73,12 +73,13 @@
             self.parents_changed.set()
 
     def _set_order(self, zones: dict[str, set[str]]) -> None:
-        in_zone = zones.get(self._zone)
-        if in_zone:
+        zone_names = zones.get(self._zone)
+        if zone_names:
             # A daemon that is not listed yet takes the position that it will have.
-            in_zone.add(self.name)
-        # While no daemon of the zone is listed, there is no order and each reads the platform.
-        self._order = relay_order(in_zone or ())
+            zone_names.add(self.name)
+        # While no daemon of the zone is listed, the order is empty and each daemon of the zone
+        # reads the platform.
+        self._order = relay_order(zone_names or ())
         is_placed_watcher = self.name in self._order[: self._watchers]
         self._ring = self._build_ring(zones) if is_placed_watcher else ()
 
--- a/packages/wheatslipd/wheatslipd/feed/reader.py
+++ b/packages/wheatslipd/wheatslipd/feed/reader.py
@@ -20,9 +20,7 @@
 from wheatslipd.feed.access import PlatformAccess, log_unavailable
 from wheatslipd.telemetry import logs
 
-# Stale reads of the list, to look for the own entry, before a current list is read. Some
-# platforms charge ten times as much for a current list.
-MAX_STALE_LIST_READS = 3
+MAX_STALE_LIST_READS = 3  # before a current list is read, for which some platforms charge more
 
 
 class PlatformReader:
@@ -126,7 +124,7 @@
         return isinstance(entry, Ok)
 
     async def read_head(self, *, stale_ok: bool = False) -> bool:
-        """Read the head once, and the bundle that it names if newer than the cached one.
+        """Read the head once, and its bundle if that is newer than the cached one.
 
         Returns whether the platform answered the read of the head.
         """
--- a/packages/wheatslipd/wheatslipd/feed/relay.py
+++ b/packages/wheatslipd/wheatslipd/feed/relay.py
@@ -1,8 +1,8 @@
 """Streams of updates between daemons: the server for followers and the client for a parent.
 
-A stream stays open. The server sends an update when the cache changes, and as a heartbeat when
-it does not. It sends each update in chunks, so that the client does not take a parent for dead
-while a large update crosses a slow link.
+The server sends an update when the cache changes, and as a heartbeat when it does not. It
+splits updates into chunks, so that the client does not time out while it receives a large
+update over a slow link.
 """
 
 import asyncio
@@ -28,9 +28,7 @@
 FOLLOW_METHOD = "/wheatslip.Relay/FollowInPieces"
 REPORT_METHOD = "/wheatslip.Relay/ReportEnds"
 HEARTBEAT_SECONDS = 0.5  # longest time between two updates of a stream
-# Heartbeat intervals without a chunk after which a parent counts as failed: two, plus half an
-# interval for delays.
-MISSED_HEARTBEATS = 2.5
+MISSED_HEARTBEATS = 2.5  # heartbeat intervals without a chunk after which a parent has failed
 SILENCE_TIMEOUT_SECONDS = MISSED_HEARTBEATS * HEARTBEAT_SECONDS
 # Heartbeat interval of a parent of the previous version, which does not send its own.
 DEFAULT_HEARTBEAT_SECONDS = 2.0
@@ -182,8 +180,8 @@
                         heartbeat = heartbeat or update.heartbeat or DEFAULT_HEARTBEAT_SECONDS
                         silence_timeout = MISSED_HEARTBEATS * heartbeat
                         yield update
-                    case Err(why):
-                        logs.warning("update-refused", parent=parent.name, why=why)
+                    case Err(reason):
+                        logs.warning("update-refused", parent=parent.name, why=reason)
                         return
     except (
         OSError,
@@ -192,7 +190,7 @@
         StreamTerminatedError,
         msgspec.DecodeError,
     ) as error:
-        # A connection that is open but delivers nothing shows only as a timeout.
+        # A timeout is the only sign of an open connection that delivers nothing.
         logs.info("parent-lost", parent=parent.name, error=repr(error), repeat_key=parent.name)
     finally:
         channel.close()
@@ -207,9 +205,8 @@
     try:
         await method(reports, timeout=REPORT_TIMEOUT_SECONDS)
     except GRPCError as error:
-        # Most likely the parent runs the previous version, which lacks the method, so a retry
-        # would fail too. grpclib reports no specific status for that: the response has no
-        # content type.
+        # The parent probably runs the previous version, which lacks the method, so a retry
+        # would fail too. grpclib reports no specific status for that.
         _log_undelivered(parent, error)
     except (OSError, TimeoutError, StreamTerminatedError, msgspec.DecodeError) as error:
         _log_undelivered(parent, error)
--- a/packages/wheatslipd/wheatslipd/feed/verifier.py
+++ b/packages/wheatslipd/wheatslipd/feed/verifier.py
@@ -28,9 +28,9 @@
 class KeyringVerifier:
     """Accepts bundles and zone drains signed by operators whose keys are in the keyring folder.
 
-    A bundle needs two signatures. A zone drain needs one, because it is urgent. The keyring is
-    read on each call, so that a new operator's key needs no restart. The signature library is
-    slow to load, so it is imported on first use.
+    A bundle needs two signatures, a zone drain one, because it is urgent. The keyring is read
+    on each call, so that a new key needs no restart. The signature library loads slowly and is
+    imported on first use.
     """
 
     keyring: Path
--- a/packages/wheatslipd/wheatslipd/feed/watchcheck.py
+++ b/packages/wheatslipd/wheatslipd/feed/watchcheck.py
@@ -6,14 +6,10 @@
 from wheatslipd.feed.access import PlatformAccess
 from wheatslipd.feed.reader import PlatformReader
 
-# Interval of the refreshes of the head, each a call at the full price. Between two refreshes, a
-# parent or stale reads of the head deliver the changes that a silent watch misses.
-HEAD_REFRESH_SECONDS = 4.0
-# Interval if neither a parent nor stale reads deliver changes. It is below one second so that
-# with one check per second every check refreshes the head.
+HEAD_REFRESH_SECONDS = 4.0  # interval; a refresh costs more than a stale read of the head
+# Interval without a parent or stale reads; below 1 s, so that a check every 1 s can refresh.
 HEAD_REFRESH_WITHOUT_PARENT_SECONDS = 0.75
-# Largest bundle for which the head is read at each check. Some platforms answer a read of the
-# head with the complete configuration, which can fill a slow link.
+# Above it the head is not read: some platforms respond with the complete configuration.
 SMALL_BUNDLE_BYTES = 20_000
 
 
@@ -32,7 +28,7 @@
         self._has_parent = has_parent
         self._reader = reader
         self._cache = access.cache_writer.cache
-        self._refreshed_at = -HEAD_REFRESH_SECONDS  # event loop time of the last refresh
+        self._refreshed_at = -HEAD_REFRESH_SECONDS  # by the loop's clock
 
     async def run(self) -> None:
         """Return when the platform answers again after a failed call.
--- a/packages/wheatslipd/wheatslipd/feed/watching.py
+++ b/packages/wheatslipd/wheatslipd/feed/watching.py
@@ -14,9 +14,7 @@
 from wheatslipd.feed.watchcheck import WatchCheck
 from wheatslipd.telemetry import logs
 
-# Multiplies the longest backoff of the watch of the zone drains. The watch of the head already
-# detects that the platform is available again, and restarts the watch of the zone drains then;
-# the platform charges for each attempt.
+# For the longest backoff of this watch; on recovery, the watch of the head restarts it anyway.
 DRAINS_BACKOFF_FACTOR = 5.0
 
 
