--- a/packages/wheatslipd/wheatslipd/feed/parentfollower.py
+++ b/packages/wheatslipd/wheatslipd/feed/parentfollower.py
@@ -14,7 +14,7 @@
 from wheatslipd.telemetry import logs
 from wheatslipd.tls import PeerTls
 
-STALE_TIMEOUT_SECONDS = 15.0  # how long a parent may send the same `as_of`
+STALE_TIMEOUT_SECONDS = 15.0  # without a newer `as_of`; several heartbeats per tree level
 NEXT_PARENT_PAUSE_SECONDS = 0.2  # before the next parent is tried
 ALL_PARENTS_FAILED_PAUSE_SECONDS = 1.0  # limits the reads of the platform, one per pause
 
--- a/packages/wheatslipd/wheatslipd/feed/position.py
+++ b/packages/wheatslipd/wheatslipd/feed/position.py
@@ -73,13 +73,13 @@
             self.parents_changed.set()
 
     def _set_order(self, zones: dict[str, set[str]]) -> None:
-        zone_names = zones.get(self._zone)
-        if zone_names:
+        names_in_zone = zones.get(self._zone)
+        if names_in_zone:
             # A daemon that is not listed yet takes the position that it will have.
-            zone_names.add(self.name)
+            names_in_zone.add(self.name)
         # While no daemon of the zone is listed, the order is empty and each daemon of the zone
         # reads the platform.
-        self._order = relay_order(zone_names or ())
+        self._order = relay_order(names_in_zone or ())
         is_placed_watcher = self.name in self._order[: self._watchers]
         self._ring = self._build_ring(zones) if is_placed_watcher else ()
 
--- a/packages/wheatslipd/wheatslipd/feed/watchcheck.py
+++ b/packages/wheatslipd/wheatslipd/feed/watchcheck.py
@@ -9,7 +9,7 @@
 HEAD_REFRESH_SECONDS = 4.0  # interval; a refresh costs more than a stale read of the head
 # Interval without a parent or stale reads; below 1 s, so that a check every 1 s can refresh.
 HEAD_REFRESH_WITHOUT_PARENT_SECONDS = 0.75
-# Above it the head is not read: some platforms respond with the complete configuration.
+# Above it, no stale reads of the head: some platforms respond with the whole configuration.
 SMALL_BUNDLE_BYTES = 20_000
 
 
--- a/packages/wheatslipd/wheatslipd/feed/watching.py
+++ b/packages/wheatslipd/wheatslipd/feed/watching.py
@@ -14,7 +14,7 @@
 from wheatslipd.feed.watchcheck import WatchCheck
 from wheatslipd.telemetry import logs
 
-# For the longest backoff of this watch; on recovery, the watch of the head restarts it anyway.
+# Longer backoff of the drains watch, which the watch of the head restarts on recovery anyway.
 DRAINS_BACKOFF_FACTOR = 5.0
 
 
--- a/packages/wheatslipd/wheatslipd/http/client.py
+++ b/packages/wheatslipd/wheatslipd/http/client.py
@@ -143,8 +143,10 @@
         self.timed_out = isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT
         # Once the request is acknowledged, only keepalive probes can time out, which takes at
         # least `KEEPALIVE_SECONDS`. An earlier timeout means that it was not acknowledged.
-        is_too_soon = asyncio.get_running_loop().time() - self._sent_at < KEEPALIVE_SECONDS
-        self.request_unacknowledged = self.timed_out and is_too_soon
+        is_before_keepalive = (
+            asyncio.get_running_loop().time() - self._sent_at < KEEPALIVE_SECONDS
+        )
+        self.request_unacknowledged = self.timed_out and is_before_keepalive
         if self._body is not None and not self._body.complete:
             if exc is None and self._body_until_close:
                 self._body.finish()
