--- a/test/test_budget.py
+++ b/test/test_budget.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 from wheatslip.budget import FleetBudget, RetryBudgets
 
@@ -15,6 +15,7 @@
 
 
 @given(st.integers(1, 15), st.integers(0, 1000), st.floats(0.0, 60.0))
+@example(members=1, seed=0, rate=8.5)
 @settings(max_examples=40, derandomize=True, deadline=None)
 def test_all_daemons_together_stay_within_the_budget_in_any_window(members, seed, rate):
     rng = Random(seed)
--- a/test/test_publisher_model.py
+++ b/test/test_publisher_model.py
@@ -162,3 +162,11 @@
 TestPublisher.settings = settings(
     max_examples=200, stateful_step_count=30, derandomize=True, deadline=None
 )
+
+
+def test_a_restart_whose_first_write_is_lost_uses_a_new_incarnation():
+    machine = PublisherMachine()
+    machine.recover()
+    machine.restart()
+    machine.step(mode="away")
+    machine.recover()
