--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 demo: $(SETUP)
 	$(PY) -m demo.demo
 
-# Played again by its seed, if a promise is broken.
+# The same seed plays the same faults again, if a guarantee was violated.
 SEED ?= 1
 MINUTES ?= 1
 soak: $(SETUP)
