--- a/packages/wheatslipd/wheatslipd/telemetry/metrics.py
+++ b/packages/wheatslipd/wheatslipd/telemetry/metrics.py
@@ -25,56 +25,56 @@
         )
         self.request_seconds = Histogram(
             "wheatslip_request_seconds",
-            "Time from receiving a request's head to the end of its response, by service",
+            "Time from a request's head to the end of its answer, by service",
             const_labels=labels,
             registry=self.registry,
             buckets=LATENCY_BUCKETS,
         )
         self.sends = counter(
             "wheatslip_sends_total",
-            "Attempts sent to upstreams, by service and try (first, retry)",
+            "Tries sent to upstreams, by service and try (first, retry)",
         )
         self.admissions = counter(
             "wheatslip_admissions_total", "Requests at the local gate, by outcome and reason"
         )
         self.server_ends = counter(
             "wheatslip_server_ends_total",
-            "Times the local backend server ended while it ran requests",
+            "Ends of the local backend server while it ran requests",
         )
         self.held_requests = gauge(
             "wheatslip_held_requests",
-            "Requests refused because servers ended while running them",
+            "Requests refused because servers end when they run them",
         )
         self.suspects = gauge(
             "wheatslip_suspects",
-            "Requests that servers ran when they ended, including the held ones",
+            "Requests under which servers have ended, the held ones included",
         )
         self.in_flight = gauge("wheatslip_in_flight", "Requests at the local backend server")
         self.queued = gauge("wheatslip_queued", "Requests waiting at the local gate")
         self.limit = gauge("wheatslip_limit", "Concurrency limit of the local backend server")
         self.probes = counter(
-            "wheatslip_probes_total", "Health probes of the local backend server"
+            "wheatslip_probes_total", "Active measurements of the local backend server"
         )
         self.probe_seconds = counter(
             "wheatslip_probe_seconds_total",
-            "Time the local backend server spent on health probes",
+            "Time the local backend server spent on them",
         )
         self.platform_calls = counter("wheatslip_platform_calls_total", "Calls to the platform")
         self.relay_bytes = counter(
             "wheatslip_relay_bytes_total", "Bytes of control messages sent to followers"
         )
-        self.bundle_version = gauge("wheatslip_bundle_version", "Bundle version in force")
+        self.bundle_version = gauge("wheatslip_bundle_version", "Bundle version in force here")
         self.zones_drained = gauge(
-            "wheatslip_zones_drained", "Availability zones that operators have drained"
+            "wheatslip_zones_drained", "Availability zones that operators have emptied"
         )
         self.cold = gauge(
-            "wheatslip_cold", "Whether the local backend server is limited to its cold rate"
+            "wheatslip_cold", "Whether the local backend server is held to its cold rate"
         )
         self.head_age = gauge(
             "wheatslip_head_age_seconds",
-            "Time since the platform last confirmed the version in force",
+            "Since the platform last confirmed the version in force",
         )
-        self.key_records = gauge("wheatslip_key_records", "Request keys recorded")
+        self.key_records = gauge("wheatslip_key_records", "Request keys remembered here")
         self.connections = gauge("wheatslip_connections", "Open connections, by port")
 
     def render(self) -> bytes:
